--- a/internal/core/health/doc.go
+++ b/internal/core/health/doc.go
@@ -1,11 +1,12 @@
-// Package health holds what the answers of one start of an upstream show of it, to this
-// gateway and to others, and says whether others should go first.
+// Package health tracks the health of one instance of an upstream, as seen by this gateway
+// and reported by others, and decides whether other upstreams are preferred.
 //
-// Evidence is what became of requests: answers, failures, refusals, and prompts that hang.
-// Each gateway judges by its own, and tells the latest of it as one vote. Where most votes
-// are against an upstream, all put it last for a time, and then a few of them try it. All of
-// it ages by itself. What an upstream says of itself is not here: it goes before judgement,
-// in package notice.
+// Health is inferred from the outcome of requests: responses, failures, refusals, and
+// prompts that hang. Each gateway evaluates its own requests and publishes the latest
+// outcome as one vote. If most votes are against an upstream, all gateways demote it for a
+// limited time, after which a few of them send trial requests. All state expires by itself.
+// Status that an upstream reports about itself is handled in package notice and takes
+// precedence over this package.
 //
 // # Usage
 //
@@ -13,6 +14,6 @@
 //	s, d := s.WithRefusal(now, full)
 //	s, verdict, ok := s.WithVotes(now, told)
 //	if s.LeftOut(now) > 0 || s.PutLast(now) {
-//		// others go first
+//		// prefer other upstreams
 //	}
 package health
--- a/internal/core/health/state_test.go
+++ b/internal/core/health/state_test.go
@@ -11,12 +11,13 @@
 
 func at(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 
-// A refusal leaves an upstream out for a moment, longer with each in a row; an answer takes
-// one back. One of an upstream that is full is no evidence.
+// A refusal excludes an upstream for a moment, longer with each consecutive one; a response
+// takes one step back. A refusal by a full upstream does not count.
 func TestRefusals(t *testing.T) {
 	tests := []struct {
 		name string
-		// refusals are of upstreams that are full or not; answers come after them.
+		// refusals lists for each refusal whether the upstream was full; responses follow
+		// them.
 		refusals []bool
 		answers  int
 		full     bool
@@ -25,9 +26,9 @@
 		{"the first", nil, 0, false, 100 * time.Millisecond},
 		{"the third", []bool{false, false}, 0, false, 400 * time.Millisecond},
 		{"the tenth", make([]bool, 9), 0, false, 3200 * time.Millisecond},
-		{"the third, after an answer", []bool{false, false}, 1, false, 200 * time.Millisecond},
-		{"it is full", []bool{false, false}, 0, true, FullFor},
-		{"the first with room", []bool{true, true}, 0, false, 100 * time.Millisecond},
+		{"the third, after a response", []bool{false, false}, 1, false, 200 * time.Millisecond},
+		{"the upstream is full", []bool{false, false}, 0, true, FullFor},
+		{"the first with capacity left", []bool{true, true}, 0, false, 100 * time.Millisecond},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -45,8 +46,8 @@
 	}
 }
 
-// Ejections that follow each other last longer, up to a bound; after a while they are short
-// again.
+// Consecutive ejections last longer, up to a bound; after a while without one they are
+// short again.
 func TestEjections(t *testing.T) {
 	is := is.New(t)
 	var s State
@@ -58,12 +59,12 @@
 		now = now.Add(want)
 		is.Equal(s.LeftOut(now), time.Duration(0))
 	}
-	now = now.Add(ejectForget + time.Second)
+	now = now.Add(ejectResetAfter + time.Second)
 	is.Equal(s.WithEjection(now).LeftOut(now), ejectBase)
 }
 
-// A vote is the latest that was seen: a failure counts for longer the more there were in a
-// row, an answer from its beginning.
+// A vote reflects the latest observation: a failure counts for longer after consecutive
+// failures, a response from its start.
 func TestVote(t *testing.T) {
 	failed := func(times int) State {
 		var s State
@@ -75,18 +76,18 @@
 	tests := []struct {
 		name string
 		s    State
-		// lasts is until when the vote counts, in milliseconds.
+		// lasts is how long the vote counts, in milliseconds.
 		lasts int
 		want  Vote
 	}{
-		{"nothing was seen", State{}, 1, None},
-		{"an answer began", State{}.WithBegun(t0), 1000, For},
+		{"no observation", State{}, 1, None},
+		{"a response started", State{}.WithBegun(t0), 1000, For},
 		{"a request failed", failed(1), 1000, Against},
 		{"two failed", failed(2), 2000, Against},
 		{"ten failed", failed(10), 8000, Against},
-		{"an answer began after failures", failed(3).WithBegun(at(1)), 1000, For},
-		{"a request failed after an answer began", State{}.WithBegun(at(-1)).WithFailure(t0), 1000, Against},
-		{"an old stream ended well after a failure", State{}.WithBegun(at(-10)).WithFailure(t0).WithAnswer(at(-10)), 1000, Against},
+		{"a response started after failures", failed(3).WithBegun(at(1)), 1000, For},
+		{"a request failed after a response started", State{}.WithBegun(at(-1)).WithFailure(t0), 1000, Against},
+		{"an old stream completed after a failure", State{}.WithBegun(at(-10)).WithFailure(t0).WithAnswer(at(-10)), 1000, Against},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -97,9 +98,9 @@
 	}
 }
 
-// FuzzState holds what must be true of any sequence of events: nobody is left out or put
-// last for longer than the bounds, one gateway's votes put nobody last whose own requests
-// are answered, evidence only ages, and nothing is left of it in the end.
+// FuzzState checks invariants over any sequence of events: no upstream is excluded or
+// demoted for longer than the bounds, votes of one gateway do not demote an upstream that
+// responds to this one, and all state expires in the end.
 func FuzzState(f *testing.F) {
 	f.Add([]byte{1, 10, 2, 10, 3, 0, 4, 100})
 	f.Add([]byte{7, 20, 7, 255, 8, 255, 7, 255, 7, 1})
@@ -111,23 +112,23 @@
 			now = now.Add(time.Duration(events[i+1]) * 20 * time.Millisecond)
 			s = event(t, s, now, events[i])
 			if s.LeftOut(now) > ejectMax {
-				t.Fatalf("left out for %v", s.LeftOut(now))
+				t.Fatalf("excluded for %v", s.LeftOut(now))
 			}
-			if s.PutLast(now.Add(lastFor << maxLast)) {
-				t.Fatalf("put last for longer than votes may")
+			if s.PutLast(now.Add(demotionBase << maxDemotionDoublings)) {
+				t.Fatalf("demoted for longer than the bound")
 			}
 			if s.PutLast(now) && s.TrialOfFew(now) {
-				t.Fatalf("put last and on trial at once")
+				t.Fatalf("demoted and on trial at once")
 			}
 		}
-		end := now.Add(lastFor<<maxLast + trialMost)
+		end := now.Add(demotionBase<<maxDemotionDoublings + maxTrialWait)
 		if s.LeftOut(end) > 0 || s.PutLast(end) || s.OnTrial(end) || s.Vote(end) != None {
-			t.Fatalf("%+v is left long after the last event", s)
+			t.Fatalf("%+v has not expired long after the last event", s)
 		}
 	})
 }
 
-// event is one of those that may befall a state.
+// event applies one kind of event to the state.
 func event(t *testing.T, s State, now time.Time, kind byte) State {
 	t.Helper()
 	switch kind % 10 {
@@ -154,13 +155,13 @@
 		before := s
 		s, _, ok := s.WithBegun(now.Add(time.Nanosecond)).WithVotes(now.Add(time.Nanosecond), Votes{Failing: 1})
 		if ok {
-			t.Fatalf("%+v was put last by one vote, though it answers here", before)
+			t.Fatalf("%+v was demoted by one vote although it responds to this gateway", before)
 		}
 		return s
 	default:
 		s, _, ok := s.WithVotes(now, Votes{Served: 1})
 		if ok {
-			t.Fatalf("put last without a vote of another gateway")
+			t.Fatalf("demoted without a vote of another gateway")
 		}
 		return s
 	}
--- a/internal/core/health/votes.go
+++ b/internal/core/health/votes.go
@@ -3,45 +3,47 @@
 import "time"
 
 const (
-	// voteFor is how long a failure or refusal counts as a gateway's vote against the
-	// upstream; it doubles with each that follows without an answer, up to maxVotes of
-	// them. An answer counts for as long as a first failure.
-	voteFor  = time.Second
+	// voteBase is how long a failure or refusal counts as a gateway's vote against the
+	// upstream. It doubles with each consecutive failure, up to maxVotes of them. A
+	// response counts for as long as a first failure.
+	voteBase = time.Second
 	maxVotes = 4
-	// witnesses is the least number of votes that put an upstream last. One gateway may be
-	// wrong, confused, or lie.
-	witnesses = 2
-	// failingFactor is how many votes against an upstream outweigh one for it: one that
-	// fails half of its requests is left to each gateway's own count.
-	failingFactor = 2
-	// lastFor is how long an upstream is put last by votes; it doubles each time that
-	// its trials failed, up to maxLast times.
-	lastFor = time.Second
-	maxLast = 2
-	// trialMost is how long those wait who do not try it, whoever votes: four times as long
-	// as one of the least urgent requests is waited for.
-	trialMost = 4 * trialFor
+	// demotionQuorum is the minimum number of votes that demote an upstream. A single
+	// gateway may be wrong, faulty or malicious.
+	demotionQuorum = 2
+	// againstRatio is the number of votes against an upstream that outweigh one vote for
+	// it. An upstream that fails half of its requests is left to each gateway's own failure
+	// count.
+	againstRatio = 2
+	// demotionBase is how long votes demote an upstream. It doubles each time the trials
+	// after a demotion fail, up to maxDemotionDoublings times.
+	demotionBase         = time.Second
+	maxDemotionDoublings = 2
+	// maxTrialWait is the longest time that gateways without trials wait for the result,
+	// whatever the votes: four times as long as the wait for one of the least urgent
+	// requests.
+	maxTrialWait = 4 * trialFor
 )
 
-// Vote is what a gateway tells the others of an upstream: the latest that it saw there.
+// Vote is the latest outcome that a gateway observed at an upstream, as told to the others.
 type Vote int
 
 // Votes of a gateway.
 const (
-	// None means that it has seen nothing of late.
+	// None means that there is no recent observation.
 	None Vote = iota
-	// For means that an answer began.
+	// For means that a response started.
 	For
 	// Against means that a request failed, was refused or hangs.
 	Against
 )
 
-// Votes are how many gateways vote against an upstream, and for it.
+// Votes counts the gateways that vote against an upstream, and for it.
 type Votes struct {
 	Failing, Served int
 }
 
-// With returns the votes with one more.
+// With returns the votes with one added.
 func (v Votes) With(vote Vote) Votes {
 	switch vote {
 	case Against:
@@ -54,94 +56,95 @@
 }
 
 // against reports whether most votes are against the upstream.
-func (v Votes) against() bool { return v.Failing > failingFactor*v.Served }
+func (v Votes) against() bool { return v.Failing > againstRatio*v.Served }
 
-// Verdict is that votes put an upstream last.
+// Verdict is a decision by votes to demote an upstream.
 type Verdict struct {
 	Votes
-	// For is how long.
+	// For is the duration of the demotion.
 	For time.Duration
 }
 
-// standing is what the votes of all gateways made of an upstream.
-type standing struct {
-	// times is how often they put it last, one time after the other.
-	times int
-	// lastUntil is until when it is put last, trialUntil until when those wait who do not
-	// try it then.
-	lastUntil, trialUntil time.Time
+// demotion is the outcome of the votes of all gateways.
+type demotion struct {
+	// count is the number of consecutive demotions.
+	count int
+	// demotedUntil is the end of the demotion. Gateways without trials wait until
+	// trialUntil.
+	demotedUntil, trialUntil time.Time
 }
 
-// Vote is the vote of this gateway.
+// Vote is the current vote of this gateway.
 func (s State) Vote(now time.Time) Vote {
 	switch {
-	case s.begunAt.After(s.failedAt):
-		if now.Sub(s.begunAt) < voteFor {
+	case s.startedAt.After(s.failedAt):
+		if now.Sub(s.startedAt) < voteBase {
 			return For
 		}
-	case s.failures > 0 && now.Sub(s.failedAt) < voteFor<<(min(s.failures, maxVotes)-1):
+	case s.failures > 0 && now.Sub(s.failedAt) < voteBase<<(min(s.failures, maxVotes)-1):
 		return Against
 	}
 	return None
 }
 
-// WithVotes returns the state after the votes of all other gateways came, and the verdict if
-// they put the upstream last from now on. One gateway is one vote, so that one whose links
-// are bad, or that lies, is outvoted where others are answered.
-func (s State) WithVotes(now time.Time, told Votes) (State, Verdict, bool) {
-	all := told.With(s.Vote(now))
+// WithVotes returns the state after the votes of all other gateways arrived, and the
+// verdict if they demote the upstream from now on. Each gateway has one vote, so that one
+// with bad links or false votes is outvoted where others get responses.
+func (s State) WithVotes(now time.Time, others Votes) (State, Verdict, bool) {
+	all := others.With(s.Vote(now))
 	switch {
 	case s.PutLast(now):
-	case all.against() && told.Failing > 0 && (all.Failing >= witnesses || s.trialFailed(now)):
-		v := Verdict{Votes: all, For: lastFor << min(s.standing.times, maxLast)}
-		s.standing = s.standing.with(now, v.For)
+	case all.against() && others.Failing > 0 && (all.Failing >= demotionQuorum || s.trialFailed(now)):
+		v := Verdict{Votes: all, For: demotionBase << min(s.demotion.count, maxDemotionDoublings)}
+		s.demotion = s.demotion.with(now, v.For)
 		return s, v, true
 	case all.against() && s.TrialOfFew(now):
-		s.standing = s.standing.withVote(now)
+		s.demotion = s.demotion.withVote(now)
 	case all.Served > 0, !s.TrialOfFew(now):
-		s.standing = standing{}
+		s.demotion = demotion{}
 	}
 	return s, Verdict{}, false
 }
 
-// with returns the standing after the upstream was put last for the time.
-func (st standing) with(now time.Time, d time.Duration) standing {
+// with returns the state after one more demotion, which lasts d.
+func (dm demotion) with(now time.Time, d time.Duration) demotion {
 	until := now.Add(d)
-	return standing{times: st.times + 1, lastUntil: until, trialUntil: until.Add(trialFor)}
+	return demotion{count: dm.count + 1, demotedUntil: until, trialUntil: until.Add(trialFor)}
 }
 
-// withVote returns the standing after one vote against the upstream during a trial: it is
-// none, but those who try may have that word, and others wait on.
-func (st standing) withVote(now time.Time) standing {
-	st.trialUntil = now.Add(trialFor)
-	if most := st.lastUntil.Add(trialMost); st.trialUntil.After(most) {
-		st.trialUntil = most
+// withVote extends the trial after one vote against the upstream. A single vote does not
+// demote it again, but it may come from one of the gateways that run the trial, so the
+// others keep waiting.
+func (dm demotion) withVote(now time.Time) demotion {
+	dm.trialUntil = now.Add(trialFor)
+	if most := dm.demotedUntil.Add(maxTrialWait); dm.trialUntil.After(most) {
+		dm.trialUntil = most
 	}
-	return st
+	return dm
 }
 
-// trialFailed reports whether this gateway's own trial of the upstream failed.
+// trialFailed reports whether this gateway's own trial request failed.
 func (s State) trialFailed(now time.Time) bool {
-	return s.TrialOfFew(now) && s.Vote(now) == Against && s.failedAt.After(s.standing.lastUntil)
+	return s.TrialOfFew(now) && s.Vote(now) == Against && s.failedAt.After(s.demotion.demotedUntil)
 }
 
-// Outvoted reports whether votes put the upstream last a while ago, and nothing has ended
-// that since.
-func (s State) Outvoted() bool { return s.standing.times > 0 }
+// Outvoted reports whether votes have demoted the upstream and nothing has reset that
+// since.
+func (s State) Outvoted() bool { return s.demotion.count > 0 }
 
-// PutLast reports whether votes put the upstream last now.
+// PutLast reports whether the upstream is demoted by votes now.
 func (s State) PutLast(now time.Time) bool {
-	return s.standing.times > 0 && now.Before(s.standing.lastUntil)
+	return s.demotion.count > 0 && now.Before(s.demotion.demotedUntil)
 }
 
-// TrialOfFew reports whether the upstream was put last by votes, and has yet to answer a
-// trial of the few gateways that try it.
+// TrialOfFew reports whether a demotion has ended and the upstream has yet to respond to a
+// trial request of the few gateways that run the trial.
 func (s State) TrialOfFew(now time.Time) bool {
-	return s.standing.times > 0 && !s.PutLast(now) && now.Before(s.standing.trialUntil)
+	return s.demotion.count > 0 && !s.PutLast(now) && now.Before(s.demotion.trialUntil)
 }
 
-// Untried reports whether none of the least urgent requests came for such a trial in time.
-// Without it all gateways would try at once then.
+// Untried reports whether no low-urgency request arrived in time for such a trial. Without
+// this check all gateways would send requests at once when the wait ends.
 func (s State) Untried(now time.Time) bool {
-	return s.TrialOfFew(now) && now.Sub(s.standing.lastUntil) >= trialFor
+	return s.TrialOfFew(now) && now.Sub(s.demotion.demotedUntil) >= trialFor
 }
