--- a/internal/core/suspect/doc.go
+++ b/internal/core/suspect/doc.go
@@ -1,30 +1,29 @@
-// Package suspect finds the requests under which upstreams end, and keeps them
-// from ending more.
+// Package suspect detects requests that crash upstreams, and keeps them from crashing more.
 //
-// An upstream that ends takes all that it runs with it, tens of requests of which
-// one may be guilty. A request is known again by its print: what it asks for and
-// for whom, whatever identity its caller gives it. The evidence is that starts of
-// upstreams ended under it, one after the other, each time before it had run for
-// long. Two make it a suspect: it runs alone, where it harms fewest, and only once
-// for each call. Three block it. One run from which an upstream came back clears
-// it, and so does another request that was at all of these ends and at more.
+// An upstream that crashes takes all of its running requests with it, tens of them, of
+// which one may be the cause. A request is recognised by its fingerprint: what it asks for
+// and for whom, whatever identity its caller gives it. The evidence against it is a
+// sequence of upstream instances that crashed while running it, one after the other, each
+// before the request had run for long. Two crashes quarantine the request: it runs alone,
+// where it affects the fewest other requests, and only once for each call. Three crashes
+// block it. One run that an upstream survives clears the request, and so does another
+// request that was present at all of the same crashes and at more.
 //
-// Gateways tell each other what they saw (Word). Words may be late, lost, doubled
-// or in any order: they say what was seen, never how much it counts, and a union of
-// them is all that is kept. One gateway alone can make others suspect a request but
-// not block it.
+// Gateways exchange their observations (Word). Observations may be late, lost, duplicated
+// or reordered: each states what was seen, never how much it counts, and receivers keep
+// only their union. A single gateway can make others quarantine a request but not block it.
 //
 // # Usage
 //
 //	r := suspect.NewRegister(self, epoch)
-//	switch r.Enter(now, print) {
-//	case suspect.Blocked: // refuse, and say that coming back is useless
-//	case suspect.Occupied: // refuse for a moment
+//	switch r.Enter(now, fingerprint) {
+//	case suspect.Blocked: // refuse, and tell the caller not to retry
+//	case suspect.Occupied: // refuse, and let the caller retry soon
 //	case suspect.Quarantined: // run it alone
-//		defer r.Leave(print)
+//		defer r.Leave(fingerprint)
 //	}
-//	r.Ended(now, print, start, ran) // the start ended under it
-//	r.Survived(now, print)          // it was answered, or ran for long
-//	m := r.Tell(peer, false)        // to another gateway
+//	r.Ended(now, fingerprint, start, ran) // the instance crashed while running it
+//	r.Survived(now, fingerprint)          // it was answered, or ran for long enough
+//	m := r.Tell(peer, false)              // message to another gateway
 //	r.Hear(now, peer, m, 0)
 package suspect
--- a/internal/core/suspect/print_test.go
+++ b/internal/core/suspect/fingerprint_test.go
@@ -7,8 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// A request that comes again is known by what it asks for and for whom, and by
-// nothing else.
+// A repeated request is recognised by what it asks for and for whom, and by nothing else.
 func TestPrintOf(t *testing.T) {
 	is := is.New(t)
 	base := Content{Organisation: "o", Method: "POST", Host: "x.example", URI: "/chat/1?a=b", Body: []byte("hello"), Length: 5}
@@ -18,7 +17,7 @@
 		same   bool
 	}{
 		{"again", func(*Content) {}, true},
-		{"the case of the host", func(c *Content) { c.Host = "X.example" }, true},
+		{"a host in another case", func(c *Content) { c.Host = "X.example" }, true},
 		{"another organisation", func(c *Content) { c.Organisation = "p" }, false},
 		{"another method", func(c *Content) { c.Method = "GET" }, false},
 		{"another host", func(c *Content) { c.Host = "y.example" }, false},
@@ -26,7 +25,7 @@
 		{"another query", func(c *Content) { c.URI = "/chat/1?a=c" }, false},
 		{"another body", func(c *Content) { c.Body = []byte("hullo") }, false},
 		{"another length", func(c *Content) { c.Length = 6 }, false},
-		{"a field that reaches into the next", func(c *Content) { c.Organisation, c.Method = "oP", "OST" }, false},
+		{"bytes moved from one field to the next", func(c *Content) { c.Organisation, c.Method = "oP", "OST" }, false},
 	}
 	for _, tt := range tests {
 		c := base
@@ -36,7 +35,7 @@
 	is.Equal(len(PrintOf(base).String()), 32)
 }
 
-// BenchmarkPrintOf names what a print costs the path of a request.
+// BenchmarkPrintOf measures the cost of a fingerprint per request.
 func BenchmarkPrintOf(b *testing.B) {
 	c := Content{Organisation: "o", Method: "POST", Host: "x.example", URI: "/chat/1", Body: bytes.Repeat([]byte("x"), 5000), Length: 5000}
 	for b.Loop() {
--- a/internal/core/suspect/fuzz_test.go
+++ b/internal/core/suspect/fuzz_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// FuzzHear gives a register whatever another gateway may send. It stays within its
-// bounds, and blocks nothing by the word of one.
+// FuzzHear feeds a registry with arbitrary messages of another gateway. The registry stays
+// within its bounds, and blocks nothing on the report of a single witness.
 func FuzzHear(f *testing.F) {
 	f.Add([]byte{})
 	f.Add(binary.BigEndian.AppendUint64(make([]byte, 40), 1<<63))
@@ -29,10 +29,10 @@
 			r.Hear(now, "a", Message{Words: []Word{w}, After: position, Upto: position, Heard: position}, 0)
 			now = now.Add(time.Second)
 			if r.Look(now, w.Print) == Blocked {
-				t.Fatal("blocked by the word of one")
+				t.Fatal("blocked on the report of one witness")
 			}
-			if r.Known() > recordsKept || len(r.Tell("a", false).Words) > wordsMost {
-				t.Fatal("beyond the bounds")
+			if r.Known() > maxRecords || len(r.Tell("a", false).Words) > maxPerMessage {
+				t.Fatal("size limits exceeded")
 			}
 		}
 		r.Sweep(now)
--- a/internal/core/suspect/record.go
+++ b/internal/core/suspect/record.go
@@ -6,77 +6,76 @@
 	"time"
 )
 
-// Bounds of the evidence.
+// Thresholds and bounds of the evidence.
 const (
-	// quarantineAt and blockAt are the ends under a request that make it a suspect,
-	// and that block it.
+	// quarantineAt and blockAt are the numbers of crashes that quarantine and block a
+	// request.
 	quarantineAt = 2
 	blockAt      = 3
-	// certainAt is the ends that block a request even if another one was at all of
-	// them as well. A suspect runs where it meets few others, so that two that are
-	// still together then come in pairs.
-	certainAt = 4
-	// wordSlack is how much the times of two gateways' words may differ by: what a word
-	// takes on its way, with some waiting.
-	wordSlack = 20 * time.Millisecond
-	// endsOfOne is how many ends count by the word of one other gateway: it may be
-	// confused, or its links may be bad.
-	endsOfOne = 2
-	// endsKept bounds the ends that are remembered of a request.
-	endsKept = 8
+	// unconditionalBlockAt is the number of crashes that block a request even if another
+	// one was present at all of them. A quarantined request runs where there are few
+	// others, so that two requests still found together after that are sent in pairs.
+	unconditionalBlockAt = 4
+	// observationSlack is the tolerated difference between the times of two gateways'
+	// observations: the delivery time of one, including some queueing.
+	observationSlack = 20 * time.Millisecond
+	// maxCrashesPerWitness is the number of crashes that count on the report of one other
+	// gateway, which may be faulty or have bad links.
+	maxCrashesPerWitness = 2
+	// maxCrashes bounds the crashes kept for a request.
+	maxCrashes = 8
 )
 
-// end is a start of an upstream that ended under a request.
-type end struct {
+// crash is an upstream instance that ended while running a request.
+type crash struct {
 	start   uint64
 	witness uint64
 	at      time.Time
-	// ran is how long before it the request had been sent there.
+	// ran is the time from sending the request there to the crash.
 	ran time.Duration
 }
 
-// follows reports whether the request was sent there after the other end. If not, one
-// cause may have ended both (a rack, a fault of the network), or copies of the request:
-// they count once.
-func (e end) follows(other time.Time) bool {
-	return !e.at.Add(wordSlack - e.ran).Before(other)
+// follows reports whether the request was sent there after the other crash. If not, both
+// crashes may have one cause (a rack, a network fault) or belong to copies of the request,
+// and they count once.
+func (c crash) follows(other time.Time) bool {
+	return !c.at.Add(observationSlack - c.ran).Before(other)
 }
 
-// record is what is known of one request.
+// record is the evidence about one request.
 type record struct {
-	// round rises each time the request is cleared: what was seen in an earlier one
-	// no longer counts.
+	// round is incremented each time the request is cleared; observations of earlier rounds
+	// no longer count.
 	round uint32
-	// ends are in the order of their times.
-	ends []end
-	// changedAt is when the latest end was, or when it was cleared.
+	// crashes are ordered by time.
+	crashes []crash
+	// changedAt is the time of the latest crash, or of the last clearing.
 	changedAt time.Time
-	// running is the number of its runs of this gateway that are under way.
+	// running is the number of runs in progress at this gateway.
 	running int
 }
 
-// begin starts a round.
-func (r *record) begin(now time.Time, round uint32) {
+func (r *record) startRound(now time.Time, round uint32) {
 	r.round = round
-	r.ends = nil
+	r.crashes = nil
 	r.changedAt = now
 }
 
-// add notes an end. It reports false if the end is known already.
-func (r *record) add(e end, self uint64) bool {
-	for i := range r.ends {
-		if r.ends[i].start != e.start {
+// add adds a crash. It returns false if the crash is known already.
+func (r *record) add(c crash, self uint64) bool {
+	for i := range r.crashes {
+		if r.crashes[i].start != c.start {
 			continue
 		}
-		if e.witness == self {
-			r.ends[i].witness = self
+		if c.witness == self {
+			r.crashes[i].witness = self
 		}
 		return false
 	}
-	r.ends = append(r.ends, e)
-	slices.SortStableFunc(r.ends, func(a, b end) int { return a.at.Compare(b.at) })
-	r.ends = r.ends[max(0, len(r.ends)-endsKept):]
-	r.changedAt = later(r.changedAt, e.at)
+	r.crashes = append(r.crashes, c)
+	slices.SortStableFunc(r.crashes, func(a, b crash) int { return a.at.Compare(b.at) })
+	r.crashes = r.crashes[max(0, len(r.crashes)-maxCrashes):]
+	r.changedAt = later(r.changedAt, c.at)
 	return true
 }
 
@@ -87,39 +86,39 @@
 	return a
 }
 
-// count is the number of ends that count.
+// count is the number of crashes that count as evidence.
 func (r *record) count(self uint64) int {
 	n := 0
 	var last time.Time
-	told := make(map[uint64]int, len(r.ends))
-	for _, e := range r.ends {
-		if e.witness != self && told[e.witness] == endsOfOne {
+	counted := make(map[uint64]int, len(r.crashes))
+	for _, c := range r.crashes {
+		if c.witness != self && counted[c.witness] == maxCrashesPerWitness {
 			continue
 		}
-		if n > 0 && !e.follows(last) {
+		if n > 0 && !c.follows(last) {
 			continue
 		}
-		told[e.witness]++
+		counted[c.witness]++
 		n++
-		last = e.at
+		last = c.at
 	}
 	return n
 }
 
-// covers reports whether the request was at all ends of the other one.
+// covers reports whether the request was present at all crashes of the other one.
 func (r *record) covers(other *record) bool {
-	for _, e := range other.ends {
-		if !slices.ContainsFunc(r.ends, func(own end) bool { return own.start == e.start }) {
+	for _, c := range other.crashes {
+		if !slices.ContainsFunc(r.crashes, func(own crash) bool { return own.start == c.start }) {
 			return false
 		}
 	}
 	return true
 }
 
-// lessWorth orders records by what is forgotten first: those with the fewest ends,
-// and the oldest of them.
-func lessWorth(a, b *record) int {
-	if c := cmp.Compare(len(a.ends), len(b.ends)); c != 0 {
+// compareForEviction orders records for eviction: those with the fewest crashes first, and
+// the oldest first among them.
+func compareForEviction(a, b *record) int {
+	if c := cmp.Compare(len(a.crashes), len(b.crashes)); c != 0 {
 		return c
 	}
 	return a.changedAt.Compare(b.changedAt)
--- a/internal/core/suspect/replay_test.go
+++ b/internal/core/suspect/replay_test.go
@@ -10,62 +10,61 @@
 	"github.com/matryer/is"
 )
 
-// Sizes and times of a replay.
 const (
 	replayGateways  = 6
 	replayUpstreams = 12
 	replayStep      = 10 * time.Millisecond
 	replayLength    = 60 * time.Second
-	replayPerStep   = 0.8
-	replayBack      = 3 * time.Second
-	replayWarm      = 10 * time.Second
+	replayArrivals  = 0.8
+	replayRestart   = 3 * time.Second
+	replayWarmup    = 10 * time.Second
 	replayPopular   = 20
 )
 
-// visit is one run of a request in a replay.
-type visit struct {
+// run is one run of a request.
+type run struct {
 	print    Print
 	gateway  int
 	upstream int
 	sentAt   time.Time
 	endsAt   time.Time
-	tries    int
+	retries  int
 	killer   bool
-	alone    bool
+	isolated bool
 }
 
-// agenda is what happens in a replay.
-type agenda struct {
+// scenario is what happens in a replay.
+type scenario struct {
 	// from is when the crashes and the killers begin.
 	from time.Duration
-	// killers are requests that come again every 700 ms and end their upstream 50 to
-	// 300 ms after they were sent.
+	// killers is the number of requests that are repeated every 700 ms and crash their
+	// upstream 50 to 300 ms after they were sent.
 	killers int
-	// crash returns the upstreams that end in the step, of those that are up.
+	// crash returns the upstreams that crash in the step, out of those that are up.
 	crash func(rng *rand.Rand, step int, up []int) []int
 }
 
-// replay is several gateways that tell each other what they saw through the first one
-// of them every 100 ms, over links that lose one message in ten, before a pool whose
-// upstreams end.
+// replay simulates several gateways in front of a pool whose upstreams crash. The gateways
+// exchange observations through the first of them every 100 ms, over links that lose one
+// message in ten.
 type replay struct {
-	agenda
+	scenario
 	rng      *rand.Rand
 	now      time.Time
 	gateways []*Register
 	starts   []uint64
 	upAt     []time.Time
-	visits   []visit
-	again    []visit
+	runs     []run
+	pending  []run
 	lastID   int
 
-	innocents, hit, quarantined, refused int
-	// ended is the ends under each killer.
-	ended map[Print]int
+	innocents, affected, quarantined, refused int
+	// crashes counts the crashes caused by each killer.
+	crashes map[Print]int
 }
 
-func newReplay(a agenda, seed uint64) *replay {
-	r := &replay{agenda: a, rng: rand.New(rand.NewPCG(seed, 9)), now: t0, ended: make(map[Print]int)}
+func newReplay(a scenario, seed uint64) *replay {
+	r := &replay{scenario: a, rng: rand.New(rand.NewPCG(seed, 9)), now: t0, crashes: make(map[Print]int)}
 	for i := range replayGateways {
 		r.gateways = append(r.gateways, NewRegister(uint64(i+1), seed+1))
 	}
@@ -79,19 +78,19 @@
 func (r *replay) play() {
 	for step := range int(replayLength / replayStep) {
 		r.now = r.now.Add(replayStep)
-		r.tell(step)
+		r.exchange(step)
 		r.arrive(step)
 		r.finish()
 		if r.now.Sub(t0) < r.from {
 			continue
 		}
 		for _, u := range r.crash(r.rng, step, r.up()) {
-			r.end(u)
+			r.terminate(u)
 		}
 	}
 }
 
-// up is the upstreams that live.
+// up returns the upstreams that are running.
 func (r *replay) up() []int {
 	var list []int
 	for u, at := range r.upAt {
@@ -102,7 +101,7 @@
 	return list
 }
 
-func (r *replay) tell(step int) {
+func (r *replay) exchange(step int) {
 	if step%10 != 0 {
 		return
 	}
@@ -120,47 +119,47 @@
 }
 
 func (r *replay) arrive(step int) {
-	for n := r.rng.Float64() + 2*r.rng.Float64()*replayPerStep; n > 1; n-- {
+	for n := r.rng.Float64() + 2*r.rng.Float64()*replayArrivals; n > 1; n-- {
 		r.lastID++
 		name := fmt.Sprint("request-", r.lastID)
 		if r.rng.Float64() < 0.2 {
 			name = fmt.Sprint("popular-", r.rng.IntN(replayPopular))
 		}
 		r.innocents++
-		r.send(visit{print: printNamed(name)})
+		r.send(run{print: fingerprintFor(name)})
 	}
 	for k := range r.killers {
 		if r.now.Sub(t0) >= r.from && step%70 == 35*k%70 {
-			r.send(visit{print: printNamed(fmt.Sprint("killer-", k)), killer: true})
+			r.send(run{print: fingerprintFor(fmt.Sprint("killer-", k)), killer: true})
 		}
 	}
-	var later []visit
-	for _, v := range r.again {
+	var later []run
+	for _, v := range r.pending {
 		if r.now.Before(v.endsAt) {
 			later = append(later, v)
 		} else {
 			r.send(v)
 		}
 	}
-	r.again = later
+	r.pending = later
 }
 
-// send lets a request come to any gateway.
-func (r *replay) send(v visit) {
+// send sends a request through a random gateway.
+func (r *replay) send(v run) {
 	v.gateway = r.rng.IntN(replayGateways)
 	up := r.up()
 	if len(up) == 0 {
 		return
 	}
 	verdict := r.gateways[v.gateway].Enter(r.now, v.print)
-	v.alone = verdict == Quarantined
+	v.isolated = verdict == Quarantined
 	if verdict == Blocked || verdict == Occupied {
 		if !v.killer {
 			r.refused++
 		}
 		return
 	}
-	if v.alone && !v.killer {
+	if v.isolated && !v.killer {
 		r.quarantined++
 	}
 	v.upstream = up[r.rng.IntN(len(up))]
@@ -169,13 +168,14 @@
 	if v.killer {
 		v.endsAt = r.now.Add(50*time.Millisecond + time.Duration(r.rng.Float64()*float64(250*time.Millisecond)))
 	}
-	r.visits = append(r.visits, v)
+	r.runs = append(r.runs, v)
 }
 
-// finish lets runs end: of killers with their upstream, of others with their answer.
+// finish completes runs that are due: a killer crashes its upstream, other requests are
+// answered.
 func (r *replay) finish() {
-	var killers []visit
-	r.visits = slices.DeleteFunc(r.visits, func(v visit) bool {
+	var killers []run
+	r.runs = slices.DeleteFunc(r.runs, func(v run) bool {
 		if r.now.Before(v.endsAt) {
 			return false
 		}
@@ -184,46 +184,46 @@
 			return false
 		}
 		r.gateways[v.gateway].Survived(r.now, v.print)
-		r.leave(v)
+		r.release(v)
 		return true
 	})
 	for _, v := range killers {
 		if !r.now.Before(r.upAt[v.upstream]) {
-			r.ended[v.print]++
-			r.end(v.upstream)
+			r.crashes[v.print]++
+			r.terminate(v.upstream)
 		}
 	}
 }
 
-func (r *replay) leave(v visit) {
-	if v.alone {
+func (r *replay) release(v run) {
+	if v.isolated {
 		r.gateways[v.gateway].Leave(v.print)
 	}
 }
 
-// end ends an upstream with all that it runs. Innocent requests come again, twice at
-// most.
-func (r *replay) end(u int) {
-	r.visits = slices.DeleteFunc(r.visits, func(v visit) bool {
+// terminate crashes an upstream with all that it runs. Innocent requests are retried, twice
+// at most.
+func (r *replay) terminate(u int) {
+	r.runs = slices.DeleteFunc(r.runs, func(v run) bool {
 		if v.upstream != u {
 			return false
 		}
 		r.gateways[v.gateway].Ended(r.now, v.print, r.starts[u], r.now.Sub(v.sentAt))
-		r.leave(v)
+		r.release(v)
 		if !v.killer {
-			r.hit++
-			if v.tries < 2 {
-				r.again = append(r.again, visit{print: v.print, tries: v.tries + 1, endsAt: r.now.Add(time.Duration(r.rng.Float64() * float64(300*time.Millisecond)))})
+			r.affected++
+			if v.retries < 2 {
+				r.pending = append(r.pending, run{print: v.print, retries: v.retries + 1, endsAt: r.now.Add(time.Duration(r.rng.Float64() * float64(300*time.Millisecond)))})
 			}
 		}
 		return true
 	})
 	r.starts[u] += 1000
-	r.upAt[u] = r.now.Add(replayBack)
+	r.upAt[u] = r.now.Add(replayRestart)
 }
 
-// every returns a crash of n upstreams at once in each period.
-func every(period time.Duration, n int) func(*rand.Rand, int, []int) []int {
+// periodic returns a function that crashes n upstreams at once in each period.
+func periodic(period time.Duration, n int) func(*rand.Rand, int, []int) []int {
 	return func(rng *rand.Rand, step int, up []int) []int {
 		if step%int(period/replayStep) != 0 {
 			return nil
@@ -233,49 +233,50 @@
 	}
 }
 
-func never(*rand.Rand, int, []int) []int { return nil }
+func noCrash(*rand.Rand, int, []int) []int { return nil }
 
-// TestReplays plays crashes that nobody caused, and requests that end their upstreams,
-// and counts whom it hits: no innocent request is refused, unknown ones and popular
-// ones alike, and no killer ends more upstreams than its third and what words need.
+// TestReplays simulates crashes without a culprit and requests that crash their upstreams,
+// and counts the consequences: no innocent request is refused, whether rare or popular, and
+// no killer crashes more upstreams than blockAt and one more while observations are on
+// their way.
 func TestReplays(t *testing.T) {
 	tests := []struct {
-		name   string
-		agenda agenda
-		// refused is how many innocent requests of a thousand may be refused.
+		name     string
+		scenario scenario
+		// refused is the number of innocent requests per thousand that may be refused.
 		refused float64
 	}{
-		{"nothing", agenda{0, 0, never}, 0},
-		{"a quarter of the pool every five seconds", agenda{replayWarm, 0, every(5*time.Second, 3)}, 0},
-		{"a rack every two seconds", agenda{replayWarm, 0, every(2*time.Second, 4)}, 0},
-		{"one after the other, two a second", agenda{replayWarm, 0, every(500*time.Millisecond, 1)}, 0},
-		{"one killer", agenda{replayWarm, 1, never}, 0},
-		{"two killers", agenda{replayWarm, 2, never}, 0},
-		{"two killers while upstreams end one after the other", agenda{replayWarm, 2, every(time.Second, 1)}, 0},
-		{"two killers and racks", agenda{replayWarm, 2, every(4*time.Second, 4)}, 0},
-		// Nothing has been answered yet that would speak for what many ask for.
-		{"two killers and a rack, all gateways just started", agenda{0, 2, every(4*time.Second, 4)}, 0.2},
-		{"one after the other, all gateways just started", agenda{0, 0, every(500*time.Millisecond, 1)}, 0.6},
+		{"nothing", scenario{0, 0, noCrash}, 0},
+		{"a quarter of the pool every five seconds", scenario{replayWarmup, 0, periodic(5*time.Second, 3)}, 0},
+		{"a rack every two seconds", scenario{replayWarmup, 0, periodic(2*time.Second, 4)}, 0},
+		{"one after the other, two a second", scenario{replayWarmup, 0, periodic(500*time.Millisecond, 1)}, 0},
+		{"one killer", scenario{replayWarmup, 1, noCrash}, 0},
+		{"two killers", scenario{replayWarmup, 2, noCrash}, 0},
+		{"two killers while upstreams crash one after the other", scenario{replayWarmup, 2, periodic(time.Second, 1)}, 0},
+		{"two killers and racks", scenario{replayWarmup, 2, periodic(4*time.Second, 4)}, 0},
+		// No response has been recorded yet that protects popular requests.
+		{"two killers and a rack, all gateways just started", scenario{0, 2, periodic(4*time.Second, 4)}, 0.2},
+		{"one after the other, all gateways just started", scenario{0, 0, periodic(500*time.Millisecond, 1)}, 0.6},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			var innocents, hit, quarantined, refused, most int
+			var innocents, affected, quarantined, refused, most int
 			const seeds = 20
 			for seed := range uint64(seeds) {
-				r := newReplay(tt.agenda, seed)
+				r := newReplay(tt.scenario, seed)
 				r.play()
 				innocents += r.innocents
-				hit += r.hit
+				affected += r.affected
 				quarantined += r.quarantined
 				refused += r.refused
-				for _, n := range r.ended {
+				for _, n := range r.crashes {
 					most = max(most, n)
 				}
-				is.Equal(len(r.ended), tt.agenda.killers) // each killer did run
+				is.Equal(len(r.crashes), tt.scenario.killers) // each killer ran
 			}
-			t.Logf("%d requests, %d at an end, %d quarantined, %d refused; most ends under a killer: %d", innocents, hit, quarantined, refused, most)
+			t.Logf("%d requests, %d present at a crash, %d quarantined, %d refused; most crashes by a killer: %d", innocents, affected, quarantined, refused, most)
 			is.True(most <= blockAt+1)
 			is.True(1000*float64(refused)/float64(innocents) <= tt.refused)
 		})
