--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -1,18 +1,18 @@
-// Package quota divides a rate that all gateways keep together.
+// Package quota divides a rate limit among the gateways that share it.
 //
-// Some figures bind the sum of what all gateways send: what an upstream in need takes a
-// second is one. No gateway sees what the others send in the same second, and nothing may
-// be written that all of them read. So only a few gateways, its holders, use the rate: the
-// first ones in rendezvous order of all gateways that were heard of lately. Each of them
-// keeps a bucket of turns that fills at its part of the rate.
+// Some limits apply to the sum of what all gateways send, for example the request rate of
+// an overloaded upstream. No gateway sees what the others send in the same second, and no
+// shared counter may be written that all of them read. Therefore only a few gateways, the
+// holders, use the rate: the first ones in rendezvous order of all gateways heard of
+// recently. Each holder has a token bucket that is refilled at its share of the rate.
 //
 // # The bound
 //
-// In any time of length w, one of h holders takes at most the turns that its bucket holds
-// when full, and those that come in meanwhile: b + w·r/h, with r the rate that they share.
-// Over all holders that is h·b + w·r, whatever the size of the fleet. Divide chooses h and
-// b so that several times this, by as many as the policy's views, stays within the bound:
-// gateways that know other fleets choose other holders.
+// In any time of length w, one of h holders sends at most the tokens of its full bucket and
+// those added meanwhile: b + w·r/h, with r the rate that the holders share. Over all
+// holders that is h·b + w·r, whatever the size of the fleet. Divide chooses h and b so that
+// this sum, multiplied by the policy's Views, stays within the bound: gateways with
+// different views of the fleet choose different holders.
 //
 // # Usage
 //
@@ -29,41 +29,44 @@
 	"time"
 )
 
-// savedFor is the time whose turns a holder saves up at most, beside one: who bears little
-// should not get a burst, also where the bound has room for it.
-const savedFor = 500 * time.Millisecond
+// burstTime limits the tokens that a holder accumulates, beyond the first one, to those of
+// this time: an upstream with little capacity should not get a burst, even if the bound
+// allows it.
+const burstTime = 500 * time.Millisecond
 
-// Bound is what all gateways together may send.
+// Bound limits the requests of all gateways together.
 type Bound struct {
-	// Rate is the number of requests a second that are borne for long.
+	// Rate is the sustained number of requests per second.
 	Rate float64
-	// Most is the number of them in any Window beyond which it is too much.
+	// Most is the maximum number of requests in any Window.
 	Most   float64
 	Window time.Duration
 }
 
-// Policy is how a bound is used.
+// Policy says how much of a bound is used and by how many gateways.
 type Policy struct {
-	// Used is the part of the rate that is used.
+	// Used is the fraction of the rate that is used.
 	Used float64
-	// Views is how many times the agreed number of holders may send at once.
+	// Views is the number of holder sets that may send at the same time because gateways
+	// disagree on the members of the fleet.
 	Views float64
-	// Holders is the number of holders at most.
+	// Holders is the maximum number of holders.
 	Holders int
 }
 
-// Split is a rate as its holders share it. The zero value lets nobody send.
+// Split is a rate shared by a number of holders. The zero value lets no gateway send.
 type Split struct {
-	// Holders is the number of gateways that may send anything.
+	// Holders is the number of gateways that may send.
 	Holders int
-	// Rate is what they send a second in all, and Saved the number of turns that their
-	// buckets hold in all.
+	// Rate is their total number of requests per second, and Burst the total capacity of
+	// their buckets.
 	Rate  float64
-	Saved float64
+	Burst float64
 }
 
-// Divide returns the split that keeps the bound. Where the bound has no room for several
-// views, it has room for one; where it has none for a request a holder, nobody sends.
+// Divide returns the split that keeps the bound. If the bound is too small for Views holder
+// sets, the split is sized for one; if it is too small for one request of each holder, no
+// gateway may send.
 func (p Policy) Divide(b Bound) Split {
 	window := b.Window.Seconds()
 	rate := p.Used * b.Rate
@@ -76,51 +79,51 @@
 	if rate = min(rate, left/window); rate <= 0 {
 		return Split{}
 	}
-	return Split{Holders: holders, Rate: rate, Saved: max(room, float64(holders))}
+	return Split{Holders: holders, Rate: rate, Burst: max(room, float64(holders))}
 }
 
 // Share is the part of one holder.
 type Share struct {
-	// Every is the time in which one turn comes in.
+	// Every is the time in which one token is added.
 	Every time.Duration
-	// Saved is the number of turns that its bucket holds, 1 at least.
-	Saved float64
+	// Burst is the capacity of the bucket in tokens, at least 1.
+	Burst float64
 }
 
-// Share returns the part of one of so many holders: there may be fewer gateways than the
-// split has holders.
+// Share returns the part of one holder if there are that many gateways, which may be fewer
+// than the holders of the split.
 func (s Split) Share(holders int) Share {
 	n := float64(max(1, min(holders, s.Holders)))
 	if s.Rate <= 0 {
 		return Share{}
 	}
 	every := time.Duration(n / s.Rate * float64(time.Second))
-	most := 1 + float64(savedFor)/float64(every)
-	return Share{Every: every, Saved: min(max(1, s.Saved/n), most)}
+	most := 1 + float64(burstTime)/float64(every)
+	return Share{Every: every, Burst: min(max(1, s.Burst/n), most)}
 }
 
-// full is the time in which an empty bucket fills.
-func (s Share) full() time.Duration { return time.Duration(s.Saved * float64(s.Every)) }
+// fillTime is the time in which an empty bucket fills.
+func (s Share) fillTime() time.Duration { return time.Duration(s.Burst * float64(s.Every)) }
 
-// Bucket holds the turns of one holder. The zero value is full.
+// Bucket is the token bucket of one holder. The zero value is full.
 type Bucket struct {
 	// fullAt is when the bucket is full again.
 	fullAt time.Time
 }
 
-// NewBucket returns a bucket with so many turns.
-func NewBucket(now time.Time, s Share, turns float64) Bucket {
-	lacks := max(0, s.Saved-turns)
-	return Bucket{fullAt: now.Add(time.Duration(lacks * float64(s.Every)))}
+// NewBucket returns a bucket with a number of tokens.
+func NewBucket(now time.Time, s Share, tokens float64) Bucket {
+	missing := max(0, s.Burst-tokens)
+	return Bucket{fullAt: now.Add(time.Duration(missing * float64(s.Every)))}
 }
 
-// Next is when the bucket has a turn: in the past if it has one.
-func (b Bucket) Next(s Share) time.Time { return b.fullAt.Add(s.Every - s.full()) }
+// Next is the time of the next token, in the past if one is available.
+func (b Bucket) Next(s Share) time.Time { return b.fullAt.Add(s.Every - s.fillTime()) }
 
-// Has reports whether there is a turn.
+// Has reports whether a token is available.
 func (b Bucket) Has(now time.Time, s Share) bool { return s.Every > 0 && !now.Before(b.Next(s)) }
 
-// Spent returns the bucket without one turn more.
+// Spent returns the bucket with one token less.
 func (b Bucket) Spent(now time.Time, s Share) Bucket {
 	from := b.fullAt
 	if now.After(from) {
@@ -129,12 +132,12 @@
 	return Bucket{fullAt: from.Add(s.Every)}
 }
 
-// Under returns the bucket under another share: it lacks as many turns as before, and all
-// that this share saves at most.
+// Under returns the bucket adapted to another share: it lacks as many tokens as before, up
+// to the burst of the new share.
 func (b Bucket) Under(now time.Time, before, after Share) Bucket {
 	if before.Every <= 0 {
 		return NewBucket(now, after, 0)
 	}
-	lacks := max(0, float64(b.fullAt.Sub(now))/float64(before.Every))
-	return NewBucket(now, after, max(0, after.Saved-lacks))
+	missing := max(0, float64(b.fullAt.Sub(now))/float64(before.Every))
+	return NewBucket(now, after, max(0, after.Burst-missing))
 }
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -15,18 +15,19 @@
 
 var t0 = time.Unix(1000, 0)
 
-// policy is that of the limits that upstreams name, cautious that of cold ones.
+// policy is used for limits that upstreams announce, cautious for the rates of cold
+// upstreams.
 var (
 	policy   = quota.Policy{Used: 0.9, Views: 1.2, Holders: 1 << 20}
 	cautious = quota.Policy{Used: 0.75, Views: 2, Holders: 3}
 )
 
-// limitOf is the bound of an upstream that names a limit.
+// limitOf returns the bound of an upstream that announces a limit.
 func limitOf(perSecond float64) quota.Bound {
 	return quota.Bound{Rate: max(perSecond, 0.25), Most: 6*perSecond + 5, Window: 4 * time.Second}
 }
 
-// The figures that follow from a bound: its holders, and the part of the rate that is used.
+// Checks the number of holders and the used fraction of the rate for several bounds.
 func TestDivide(t *testing.T) {
 	tests := []struct {
 		policy  quota.Policy
@@ -52,19 +53,19 @@
 			is.Equal(s.Holders, tt.holders)
 			is.True(s.Rate <= tt.used*tt.bound.Rate+1e-9)
 			is.True(s.Rate >= 0.99*min(tt.used*tt.bound.Rate, tt.bound.Most-1))
-			is.True(s.Saved+s.Rate*tt.bound.Window.Seconds() <= tt.bound.Most+1e-6)
+			is.True(s.Burst+s.Rate*tt.bound.Window.Seconds() <= tt.bound.Most+1e-6)
 		})
 	}
 	is := is.New(t)
-	is.Equal(cautious.Divide(quota.Bound{Rate: 0.5, Most: 0.9, Window: time.Second}), quota.Split{}) // not one at a time
+	is.Equal(cautious.Divide(quota.Bound{Rate: 0.5, Most: 0.9, Window: time.Second}), quota.Split{}) // not even one request at a time
 	is.True(!quota.Bucket{}.Has(t0, quota.Split{}.Share(1)))
 }
 
-// A bucket gives its turns at the pace of its share, saves up a few and no more, however
-// long it stands still, and an empty one gives the first after that time.
+// A bucket yields tokens at the rate of its share, accumulates a few and no more, however
+// long it is idle, and an empty one yields the first token after one interval.
 func TestBucket(t *testing.T) {
 	is := is.New(t)
-	s := quota.Share{Every: time.Second, Saved: 2}
+	s := quota.Share{Every: time.Second, Burst: 2}
 	b := quota.NewBucket(t0, s, 0)
 	is.True(quota.NewBucket(t0, s, 1).Has(t0, s))
 	is.True(!b.Has(t0.Add(999*time.Millisecond), s))
@@ -76,69 +77,70 @@
 	}
 	is.True(!b.Has(later, s))
 	is.Equal(b.Next(s), later.Add(time.Second))
-	fast := quota.Share{Every: 10 * time.Millisecond, Saved: 2}
-	is.True(b.Under(later, s, fast).Has(later.Add(10*time.Millisecond), fast)) // a rise is felt at once
-	slow := quota.Share{Every: 10 * time.Second, Saved: 2}
-	is.True(!b.Under(later, s, slow).Has(later.Add(9*time.Second), slow)) // and so is a fall
+	fast := quota.Share{Every: 10 * time.Millisecond, Burst: 2}
+	is.True(b.Under(later, s, fast).Has(later.Add(10*time.Millisecond), fast)) // a higher rate applies at once
+	slow := quota.Share{Every: 10 * time.Second, Burst: 2}
+	is.True(!b.Under(later, s, slow).Has(later.Add(9*time.Second), slow)) // and so does a lower one
 	is.True(b.Under(later, s, slow).Under(later, slow, s).Has(later.Add(time.Second), s))
 }
 
-// drawnFleet is gateways in virtual time that join, die, start again, are cut off and
-// suspended, and hear of each other late.
-type drawnFleet struct {
+// simFleet simulates gateways in virtual time that join, crash, restart, are partitioned
+// and suspended, and learn of each other with a delay.
+type simFleet struct {
 	rng      *rand.Rand
-	gateways []*drawnGateway
-	// next is the address of the next one that joins.
+	gateways []*simGateway
+	// next numbers the address of the next gateway that joins.
 	next int
 }
 
-// drawnGateway is one of them.
-type drawnGateway struct {
+// simGateway is one gateway of the simulation.
+type simGateway struct {
 	fleet *fleet.Fleet
-	// limitAt is when it learns of the limit.
+	// limitAt is when the gateway learns of the limit.
 	limitAt time.Time
 	bucket  quota.Bucket
 	share   quota.Share
 	started bool
-	// excused is until when what it sends is not counted: it was started, suspended or cut
-	// off.
-	excused time.Time
-	// stopped is until when it stands still, away until when it is cut off.
-	stopped, away time.Time
-	// swappedAt is when it last told another one whom it knows, heldAt when it last
-	// looked whether it is a holder.
-	swappedAt, heldAt time.Time
-	holds             bool
+	// ignoredUntil is until when the gateway's requests are not counted, after it started
+	// or was suspended or partitioned.
+	ignoredUntil time.Time
+	// suspendedUntil is the end of a suspension, partitionedUntil the end of a partition.
+	suspendedUntil, partitionedUntil time.Time
+	// exchangedAt is the time of its last membership exchange, checkedAt when it last
+	// checked whether it is a holder.
+	exchangedAt, checkedAt time.Time
+	holder                 bool
 }
 
-// isHolder reports whether the gateway is a holder; it looks that up twice a second.
-func (g *drawnGateway) isHolder(now time.Time, key uint64, n int) bool {
-	if now.Sub(g.heldAt) >= 500*time.Millisecond {
-		g.holds, g.heldAt = g.fleet.Holds(now, key, n), now
+// isHolder reports whether the gateway is a holder; the answer is cached for half a second.
+func (g *simGateway) isHolder(now time.Time, key uint64, n int) bool {
+	if now.Sub(g.checkedAt) >= 500*time.Millisecond {
+		g.holder, g.checkedAt = g.fleet.Holds(now, key, n), now
 	}
-	return g.holds
+	return g.holder
 }
 
-// excusedFor is how long after a start, a suspension or a cut a gateway does not count: two
-// swaps with seeds, and a while to hear of those that came meanwhile.
-const excusedFor = 4 * time.Second
+// ignoredFor is how long a gateway is not counted after a start, a suspension or a
+// partition: two exchanges with seeds, and some time to learn of gateways that joined
+// meanwhile.
+const ignoredFor = 4 * time.Second
 
-// add lets a gateway join.
-func (f *drawnFleet) add(now time.Time, settled bool) {
-	g := &drawnGateway{
+// add adds a gateway to the fleet.
+func (f *simFleet) add(now time.Time, settled bool) {
+	g := &simGateway{
 		fleet:   fleet.New(fleet.Member{Address: fmt.Sprintf("10.0.%d.%d:1", f.next/250, f.next%250), Zone: "z", Start: 1}),
 		limitAt: now.Add(time.Duration(f.rng.IntN(2000)) * time.Millisecond),
 	}
 	f.next++
 	g.fleet.Started(now, []string{"10.0.0.0:1", "10.0.0.1:1", "10.0.0.2:1"}, false, 0)
 	if !settled {
-		g.excused = now.Add(excusedFor)
+		g.ignoredUntil = now.Add(ignoredFor)
 	}
 	f.gateways = append(f.gateways, g)
 }
 
-// settle lets all know all.
-func (f *drawnFleet) settle(now time.Time) {
+// settle gives all gateways complete membership.
+func (f *simFleet) settle(now time.Time) {
 	members := make([]fleet.Member, len(f.gateways))
 	for i, g := range f.gateways {
 		members[i] = g.fleet.Share(now, 1, 0)[0]
@@ -148,42 +150,42 @@
 	}
 }
 
-// swap lets a gateway and a drawn one tell each other whom they know.
-func (f *drawnFleet) swap(now time.Time, g *drawnGateway) {
+// exchange runs a membership exchange between the gateway and a random other one.
+func (f *simFleet) exchange(now time.Time, g *simGateway) {
 	other := f.gateways[f.rng.IntN(len(f.gateways))]
-	if other == g || now.Before(g.away) != now.Before(other.away) || now.Before(other.stopped) || now.Before(g.stopped) {
+	if other == g || now.Before(g.partitionedUntil) != now.Before(other.partitionedUntil) || now.Before(other.suspendedUntil) || now.Before(g.suspendedUntil) {
 		return
 	}
 	g.fleet.Beat()
 	other.fleet.Merge(now, g.fleet.Share(now, other.fleet.Known(now), f.rng.Uint64()))
 	g.fleet.Merge(now, other.fleet.Share(now, g.fleet.Known(now), f.rng.Uint64()))
-	g.swappedAt = now
+	g.exchangedAt = now
 }
 
-// disturbance is what may befall a fleet.
+// disturbance is a kind of fault or membership change.
 type disturbance int
 
 const (
-	nothing disturbance = iota
-	// dies is the end of a gateway, or of some of a large fleet; joins a new one.
+	noDisturbance disturbance = iota
+	// dies stops one gateway, or several of a large fleet; joins adds one.
 	dies
 	joins
-	// suspended means that a gateway stands still, cut that half of the fleet is cut off
-	// from the other half.
+	// suspended pauses a gateway; partitioned separates half of the fleet from the other
+	// half.
 	suspended
-	cut
+	partitioned
 	restarts
 	disturbances
 )
 
-// disturb lets something befall the fleet.
-func (f *drawnFleet) disturb(now time.Time) {
-	what := nothing + 1 + disturbance(f.rng.IntN(int(disturbances)-1))
-	f.befall(now, what, f.rng.IntN(len(f.gateways)), time.Duration(f.rng.IntN(6000))*time.Millisecond)
+// disturbRandomly applies a random disturbance to the fleet.
+func (f *simFleet) disturbRandomly(now time.Time) {
+	what := noDisturbance + 1 + disturbance(f.rng.IntN(int(disturbances)-1))
+	f.apply(now, what, f.rng.IntN(len(f.gateways)), time.Duration(f.rng.IntN(6000))*time.Millisecond)
 }
 
-// befall lets it befall the gateway with that number, for the time.
-func (f *drawnFleet) befall(now time.Time, what disturbance, i int, d time.Duration) {
+// apply applies the disturbance to the gateway with that number, for the duration d.
+func (f *simFleet) apply(now time.Time, what disturbance, i int, d time.Duration) {
 	i %= len(f.gateways)
 	g := f.gateways[i]
 	switch what {
@@ -195,45 +197,45 @@
 	case joins:
 		f.add(now, false)
 	case suspended:
-		g.stopped = now.Add(d)
-		g.excused = g.stopped.Add(excusedFor)
-	case cut:
+		g.suspendedUntil = now.Add(d)
+		g.ignoredUntil = g.suspendedUntil.Add(ignoredFor)
+	case partitioned:
 		for _, g := range f.gateways[:len(f.gateways)/2] {
-			g.away = now.Add(d)
-			g.excused = g.away.Add(excusedFor)
+			g.partitionedUntil = now.Add(d)
+			g.ignoredUntil = g.partitionedUntil.Add(ignoredFor)
 		}
 	case restarts:
 		g.bucket, g.started = quota.Bucket{}, false
-		g.excused = now.Add(excusedFor)
-	case nothing, disturbances:
+		g.ignoredUntil = now.Add(ignoredFor)
+	case noDisturbance, disturbances:
 	}
 }
 
-// disturbOne is the mean number of steps between two disturbances.
-const disturbOne = 100
+// disturbanceInterval is the mean number of steps between two disturbances.
+const disturbanceInterval = 100
 
-// disturbed lets something befall the fleet now and then.
-func (f *drawnFleet) disturbed(now time.Time) {
-	if f.rng.IntN(disturbOne) == 0 {
-		f.disturb(now)
+// maybeDisturb disturbs the fleet at random steps.
+func (f *simFleet) maybeDisturb(now time.Time) {
+	if f.rng.IntN(disturbanceInterval) == 0 {
+		f.disturbRandomly(now)
 	}
 }
 
-// calm lets nothing befall it.
+// calm leaves the fleet undisturbed.
 func calm(time.Time) {}
 
-// play lets every gateway send whenever it may, and returns what came of those that count.
-// Before each step something may befall the fleet.
-func (f *drawnFleet) play(split quota.Split, key uint64, from time.Time, length time.Duration, before func(now time.Time)) []time.Time {
+// simulate lets every gateway send whenever it may, and returns the times of the counted
+// requests. It calls before at the start of each step.
+func (f *simFleet) simulate(split quota.Split, key uint64, from time.Time, length time.Duration, before func(now time.Time)) []time.Time {
 	const step = 25 * time.Millisecond
-	var came []time.Time
+	var sent []time.Time
 	for now := from; now.Before(from.Add(length)); now = now.Add(step) {
 		before(now)
 		for _, g := range f.gateways {
-			if now.Sub(g.swappedAt) > fleet.ExchangeEvery && f.rng.IntN(10+len(f.gateways)/2) == 0 {
-				f.swap(now, g)
+			if now.Sub(g.exchangedAt) > fleet.ExchangeEvery && f.rng.IntN(10+len(f.gateways)/2) == 0 {
+				f.exchange(now, g)
 			}
-			if now.Before(g.stopped) || now.Before(g.limitAt) || !g.isHolder(now, key, split.Holders) {
+			if now.Before(g.suspendedUntil) || now.Before(g.limitAt) || !g.isHolder(now, key, split.Holders) {
 				continue
 			}
 			share := split.Share(g.fleet.Remembered())
@@ -245,17 +247,17 @@
 			}
 			for g.bucket.Has(now, share) {
 				g.bucket = g.bucket.Spent(now, share)
-				if !now.Before(g.excused) {
-					came = append(came, now)
+				if !now.Before(g.ignoredUntil) {
+					sent = append(sent, now)
 				}
 			}
 		}
 	}
-	return came
+	return sent
 }
 
-// busiest is the most of the arrivals in any window.
-func busiest(arrivals []time.Time, window time.Duration) int {
+// maxInWindow returns the maximum number of arrivals in any window.
+func maxInWindow(arrivals []time.Time, window time.Duration) int {
 	most, first := 0, 0
 	for i, at := range arrivals {
 		for at.Sub(arrivals[first]) >= window {
@@ -266,14 +268,14 @@
 	return most
 }
 
-// However large the fleet is, and whatever befalls it, an upstream that names a limit gets
-// no more in any window than it bears, of gateways that nothing has just befallen. In calm
-// nine tenths of the limit are used.
+// The counted gateways together never send an upstream with a limit more in any window than
+// its bound, for any size of the fleet and under any disturbance. Undisturbed gateways use
+// nine tenths of the limit.
 func TestSumOfAllGateways(t *testing.T) {
 	const length = 30 * time.Second
 	fleets := []struct {
-		gateways, plays int
-		limits          []float64
+		gateways, runs int
+		limits         []float64
 	}{
 		{1, 4, []float64{1, 50}},
 		{2, 20, []float64{0.2, 1, 10, 50}},
@@ -292,31 +294,31 @@
 					split := policy.Divide(bound)
 					most, late := 0, 0
 					from := t0.Add(10 * time.Second)
-					for seed := range uint64(tt.plays) {
-						f := &drawnFleet{rng: rand.New(rand.NewPCG(seed, uint64(tt.gateways)))}
+					for seed := range uint64(tt.runs) {
+						f := &simFleet{rng: rand.New(rand.NewPCG(seed, uint64(tt.gateways)))}
 						for range tt.gateways {
 							f.add(t0, true)
 						}
 						f.settle(t0)
-						befalls := f.disturbed
+						disturb := f.maybeDisturb
 						if isCalm {
-							befalls = calm
+							disturb = calm
 						}
-						came := f.play(split, f.rng.Uint64(), from, length, befalls)
-						most = max(most, busiest(came, bound.Window))
-						for _, at := range came {
+						sent := f.simulate(split, f.rng.Uint64(), from, length, disturb)
+						most = max(most, maxInWindow(sent, bound.Window))
+						for _, at := range sent {
 							if at.Sub(from) >= length/2 {
 								late++
 							}
 						}
 					}
-					used := float64(late) / float64(tt.plays) / (length / 2).Seconds() / bound.Rate
-					t.Logf("at most %d in %v, %.1f are borne, used %.2f", most, bound.Window, bound.Most, used)
+					used := float64(late) / float64(tt.runs) / (length / 2).Seconds() / bound.Rate
+					t.Logf("at most %d in %v of %.1f allowed, used %.2f", most, bound.Window, bound.Most, used)
 					is.True(float64(most) <= bound.Most)
 					if isCalm && tt.gateways > 1 {
-						// Up to one turn of each holder comes after the end.
-						cut := float64(split.Holders) / (length / 2).Seconds() / bound.Rate
-						is.True(used >= policy.Used-cut)
+						// Up to one token of each holder is used after the end.
+						tolerance := float64(split.Holders) / (length / 2).Seconds() / bound.Rate
+						is.True(used >= policy.Used-tolerance)
 					}
 				})
 			}
@@ -324,39 +326,39 @@
 	}
 }
 
-// Small fleets, with everything that may befall them: two disturbances in any order, of any
-// gateway, at any of three distances, with the second one while the first one lasts, or after.
+// Runs small fleets through all pairs of disturbances of any gateways, at three intervals:
+// the second one starts at the same time as the first one, during it, or after it.
 func TestSumOfSmallFleets(t *testing.T) {
 	is := is.New(t)
 	const length, lasts = 16 * time.Second, 3 * time.Second
 	bound := limitOf(1)
 	split := policy.Divide(bound)
 	from := t0.Add(10 * time.Second)
-	most, plays := 0, 0
+	most, runs := 0, 0
 	for n := 2; n <= 4; n++ {
 		for first := range n * int(disturbances) {
 			for second := range n * int(disturbances) {
 				for _, apart := range []time.Duration{0, time.Second, 5 * time.Second} {
-					f := &drawnFleet{rng: rand.New(rand.NewPCG(1, uint64(n)))}
+					f := &simFleet{rng: rand.New(rand.NewPCG(1, uint64(n)))}
 					for range n {
 						f.add(t0, true)
 					}
 					f.settle(t0)
-					befalls := func(now time.Time) {
+					disturb := func(now time.Time) {
 						if now.Equal(from.Add(5 * time.Second)) {
-							f.befall(now, disturbance(first/n), first%n, lasts)
+							f.apply(now, disturbance(first/n), first%n, lasts)
 						}
 						if now.Equal(from.Add(5*time.Second + apart)) {
-							f.befall(now, disturbance(second/n), second%n, lasts)
+							f.apply(now, disturbance(second/n), second%n, lasts)
 						}
 					}
-					came := f.play(split, 7, from, length, befalls)
-					most = max(most, busiest(came, bound.Window))
-					plays++
+					sent := f.simulate(split, 7, from, length, disturb)
+					most = max(most, maxInWindow(sent, bound.Window))
+					runs++
 				}
 			}
 		}
 	}
-	t.Logf("%d plays, at most %d in %v, %.1f are borne", plays, most, bound.Window, bound.Most)
+	t.Logf("%d runs, at most %d in %v of %.1f allowed", runs, most, bound.Window, bound.Most)
 	is.True(float64(most) <= bound.Most)
 }
