--- a/internal/core/gate/gate.go
+++ b/internal/core/gate/gate.go
@@ -1,10 +1,10 @@
-// Package gate refuses early what the agents would refuse anyway.
+// Package gate rejects requests early that the agents would refuse for overload.
 //
-// After all offers of a request were refused for overload, the gate closes for
-// a moment to the same class and organisation. A probe passes now and then, so
-// that it opens again as soon as there is room. It never closes for longer than
-// the queues hold work, and an organisation within its share is not held back
-// by another's burst.
+// After all offers of a request were refused for overload, the gate closes for a short time
+// to requests of the same class and organisation. It lets a probe pass at intervals, so
+// that it opens as soon as there is capacity again. It never stays closed for longer than
+// the queues hold work, and an organisation within its share is not held back by a burst of
+// another.
 //
 // # Usage
 //
@@ -15,17 +15,17 @@
 
 import "time"
 
-// Times of a gate.
+// Times and bounds of the gates.
 const (
-	// CloseFor is how long one refusal closes the gate.
+	// CloseFor is how long one refusal closes a gate.
 	CloseFor = 250 * time.Millisecond
 	// ProbeEvery is the time between two probes through a closed gate.
 	ProbeEvery = 50 * time.Millisecond
-	// sweepAt is the number of gates above which open ones are forgotten.
-	sweepAt = 4096
+	// sweepThreshold is the number of gates from which open ones are dropped.
+	sweepThreshold = 4096
 )
 
-// Key names what a gate is for.
+// Key identifies a gate.
 type Key struct {
 	Pool         string
 	Class        string
@@ -33,12 +33,12 @@
 }
 
 type state struct {
-	until      time.Time
-	probe      time.Time
-	retryAfter time.Duration
+	closedUntil time.Time
+	nextProbe   time.Time
+	retryAfter  time.Duration
 }
 
-// Gates holds the gates that closed lately. It is not safe for concurrent use.
+// Gates holds the recently closed gates. It is not safe for concurrent use.
 type Gates struct {
 	closed map[Key]*state
 }
@@ -48,15 +48,15 @@
 	return &Gates{closed: make(map[Key]*state)}
 }
 
-// Pass reports whether a request may go on. If not, it returns when the caller
-// should come back.
+// Pass reports whether a request may continue. If not, it returns the time after which the
+// caller should retry.
 func (g *Gates) Pass(now time.Time, k Key) (time.Duration, bool) {
 	s, ok := g.closed[k]
-	if !ok || !now.Before(s.until) {
+	if !ok || !now.Before(s.closedUntil) {
 		return 0, true
 	}
-	if !now.Before(s.probe) {
-		s.probe = now.Add(ProbeEvery)
+	if !now.Before(s.nextProbe) {
+		s.nextProbe = now.Add(ProbeEvery)
 		return 0, true
 	}
 	return s.retryAfter, false
@@ -64,7 +64,7 @@
 
 // Refused closes the gate after a request was refused for overload.
 func (g *Gates) Refused(now time.Time, k Key, retryAfter time.Duration) {
-	if len(g.closed) >= sweepAt {
+	if len(g.closed) >= sweepThreshold {
 		g.sweep(now)
 	}
 	s, ok := g.closed[k]
@@ -72,8 +72,8 @@
 		s = &state{}
 		g.closed[k] = s
 	}
-	s.until = now.Add(CloseFor)
-	s.probe = now.Add(ProbeEvery)
+	s.closedUntil = now.Add(CloseFor)
+	s.nextProbe = now.Add(ProbeEvery)
 	s.retryAfter = retryAfter
 }
 
@@ -84,17 +84,17 @@
 
 func (g *Gates) sweep(now time.Time) {
 	for k, s := range g.closed {
-		if !now.Before(s.until) {
+		if !now.Before(s.closedUntil) {
 			delete(g.closed, k)
 		}
 	}
 }
 
-// Closed reports whether the gate is closed, and when to come back. Unlike
-// Pass it lets no probe through.
+// Closed reports whether the gate is closed, and the time after which to retry. Unlike Pass
+// it lets no probe through.
 func (g *Gates) Closed(now time.Time, k Key) (time.Duration, bool) {
 	s, ok := g.closed[k]
-	if !ok || !now.Before(s.until) {
+	if !ok || !now.Before(s.closedUntil) {
 		return 0, false
 	}
 	return s.retryAfter, true
--- a/internal/core/gate/gate_test.go
+++ b/internal/core/gate/gate_test.go
@@ -24,10 +24,10 @@
 	is.Equal(wait, 3*time.Second)
 	is.True(pass(other, 0))         // Another organisation is not held back.
 	is.True(pass(k, ProbeEvery))    // A probe.
-	is.True(!pass(k, ProbeEvery+1)) // One at a time.
-	is.True(pass(k, CloseFor))      // Open again by itself.
+	is.True(!pass(k, ProbeEvery+1)) // One probe at a time.
+	is.True(pass(k, CloseFor))      // The gate opens by itself.
 	g.Refused(t0.Add(CloseFor), k, 0)
 	is.True(!pass(k, CloseFor+1))
-	g.Admitted(k) // Somebody got through.
+	g.Admitted(k) // A probe was admitted.
 	is.True(pass(k, CloseFor+2))
 }
--- a/internal/core/limit/limit.go
+++ b/internal/core/limit/limit.go
@@ -1,8 +1,8 @@
 // Package limit enforces the organisations' request rates.
 //
-// No process sees all requests, so each entry enforces its share: the rate
-// over the number of live entries. When entries come or go the share changes
-// at once, and what an organisation has saved up is kept.
+// No process sees all requests, so each entry enforces its share: the rate divided by the
+// number of live entries. When entries join or leave, the share changes at once and the
+// tokens that an organisation has accumulated are kept.
 //
 // # Usage
 //
@@ -21,14 +21,14 @@
 const sweepEvery = 4096
 
 type bucket struct {
-	tokens float64
-	burst  float64
-	rate   float64
-	at     time.Time
+	tokens     float64
+	burst      float64
+	rate       float64
+	refilledAt time.Time
 }
 
-// Limiter holds a bucket for each organisation with a limit that called
-// lately. It is not safe for concurrent use.
+// Limiter holds a token bucket for each organisation with a limit that sent requests
+// recently. It is not safe for concurrent use.
 type Limiter struct {
 	buckets map[string]*bucket
 	calls   int
@@ -39,8 +39,8 @@
 	return &Limiter{buckets: make(map[string]*bucket)}
 }
 
-// Take takes one request of the organisation. If none is left it returns how
-// long until there is one.
+// Take takes one token for a request of the organisation. If none is available, it returns
+// the time until the next one.
 func (l *Limiter) Take(now time.Time, o *config.Organisation, entries int) (time.Duration, bool) {
 	if o.Rate <= 0 {
 		return 0, true
@@ -63,7 +63,7 @@
 	burst := max(1, float64(o.Burst)/float64(entries))
 	b, ok := l.buckets[o.Name]
 	if !ok {
-		b = &bucket{tokens: burst, at: now}
+		b = &bucket{tokens: burst, refilledAt: now}
 		l.buckets[o.Name] = b
 	}
 	b.rate = rate
@@ -73,14 +73,14 @@
 }
 
 func (b *bucket) refill(now time.Time) {
-	if d := now.Sub(b.at); d > 0 {
+	if d := now.Sub(b.refilledAt); d > 0 {
 		b.tokens += b.rate * d.Seconds()
-		b.at = now
+		b.refilledAt = now
 	}
 	b.tokens = min(b.tokens, b.burst)
 }
 
-// sweep forgets full buckets.
+// sweep drops full buckets.
 func (l *Limiter) sweep(now time.Time) {
 	for name, b := range l.buckets {
 		b.refill(now)
--- a/internal/core/limit/limit_test.go
+++ b/internal/core/limit/limit_test.go
@@ -11,8 +11,8 @@
 
 var t0 = time.Unix(1_800_000_000, 0)
 
-// TestShares sends without end through a number of entries for ten seconds:
-// together they let the rate and one burst pass, also when entries come and go.
+// TestShares sends requests continuously through several entries for ten seconds. Together
+// they admit the rate plus one burst, also when entries join or leave.
 func TestShares(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -20,8 +20,8 @@
 	}{
 		{"one entry", func(int) int { return 1 }},
 		{"four entries", func(int) int { return 4 }},
-		{"one more comes", func(s int) int { return 2 + s/5 }},
-		{"one goes", func(s int) int { return 3 - s/5 }},
+		{"one entry joins", func(s int) int { return 2 + s/5 }},
+		{"one entry leaves", func(s int) int { return 3 - s/5 }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestWaitIsTrue(t *testing.T) {
+func TestWaitIsExact(t *testing.T) {
 	is := is.New(t)
 	l := New()
 	o := &config.Organisation{Name: "hall", Rate: 2, Burst: 1}
--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -1,7 +1,7 @@
-// Package retry bounds how many attempts are made again.
+// Package retry bounds the number of retries.
 //
-// A budget earns a share of each success and pays one for each retry, so that
-// a failing pool never sees many more attempts than it was sent requests.
+// A budget earns a fraction of a retry with each success and spends one for each retry, so
+// that a failing pool never gets many more attempts than requests.
 //
 // # Usage
 //
@@ -18,38 +18,37 @@
 //	}
 package retry
 
-// Defaults of a budget.
 const (
 	// DefaultShare is the number of retries earned by one success.
 	DefaultShare = 0.1
-	// DefaultReserve is the number of retries that can be saved up.
+	// DefaultReserve is the maximum number of retries in reserve.
 	DefaultReserve = 10
 )
 
-// Budget counts the retries that are left. It is not safe for concurrent use.
+// Budget counts the remaining retries. It is not safe for concurrent use.
 type Budget struct {
 	share   float64
 	reserve float64
 	left    float64
 }
 
-// NewBudget returns a budget with its reserve full.
+// NewBudget returns a budget with a full reserve.
 func NewBudget(share, reserve float64) *Budget {
 	return &Budget{share: share, reserve: reserve, left: reserve}
 }
 
-// With returns a budget with other bounds and as many retries left, as far as
-// the reserve allows.
+// With returns a budget with other bounds and the same remaining retries, capped at the new
+// reserve.
 func (b *Budget) With(share, reserve float64) *Budget {
 	return &Budget{share: share, reserve: reserve, left: min(b.left, reserve)}
 }
 
-// Success earns a share of a retry.
+// Success adds the share of one success.
 func (b *Budget) Success() {
 	b.left = min(b.reserve, b.left+b.share)
 }
 
-// Spend takes one retry, or reports that none is left.
+// Spend takes one retry, or returns false if none is left.
 func (b *Budget) Spend() bool {
 	if b.left < 1 {
 		return false
@@ -58,5 +57,5 @@
 	return true
 }
 
-// Left returns the number of retries left.
+// Left is the number of remaining retries.
 func (b *Budget) Left() float64 { return b.left }
--- a/internal/core/retry/budget_test.go
+++ b/internal/core/retry/budget_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// TestAmplification fails a share of all attempts: retries stay a tenth of the
-// successes and the reserve.
+// TestAmplification fails part of all attempts. Retries stay within a tenth of the
+// successes plus the reserve.
 func TestAmplification(t *testing.T) {
 	tests := []struct {
 		name string
--- a/internal/core/retry/window.go
+++ b/internal/core/retry/window.go
@@ -2,67 +2,67 @@
 
 import "time"
 
-// windowParts is the number of parts that a window is counted in. The more, the less
-// of it is given away at its ends.
-const windowParts = 20
+// windowBuckets is the number of buckets that a window is counted in. More buckets waste
+// less of the budget at the edges of the window.
+const windowBuckets = 20
 
-// Window bounds retries by the requests of the same span of time: in no span are there
-// more than a share of its requests and a reserve. Unlike a Budget, which saves up a
-// reserve at most, it lets many retries follow a crash that breaks many requests at
-// once. It is not safe for concurrent use.
+// Window bounds retries by the requests of a sliding window: in no window are there more
+// retries than a share of its requests plus a reserve. A Budget accumulates at most its
+// reserve; a Window allows many retries after a crash that breaks many requests at once. It
+// is not safe for concurrent use.
 //
-// Several processes may each keep to a part of the reserve: as the share is of each
-// one's own requests, the sum of all keeps to the whole.
+// The reserve may be divided among several processes: as the share applies to each one's
+// own requests, their sum keeps the total bound.
 type Window struct {
 	share   float64
 	reserve float64
 	span    time.Duration
-	// parts are counted by the number of their time since the beginning of time.
-	parts map[int64]*windowPart
+	// buckets are indexed by their time since the Unix epoch.
+	buckets map[int64]*windowBucket
 }
 
-// windowPart is what happened in a part of a span.
-type windowPart struct {
+// windowBucket counts the requests and retries of one part of a window.
+type windowBucket struct {
 	requests int
 	retries  int
 }
 
-// NewWindow returns a window of the span, in which nothing has happened.
+// NewWindow returns an empty window of the given span.
 func NewWindow(share, reserve float64, span time.Duration) *Window {
-	return &Window{share: share, reserve: reserve, span: span, parts: make(map[int64]*windowPart)}
+	return &Window{share: share, reserve: reserve, span: span, buckets: make(map[int64]*windowBucket)}
 }
 
-// With returns a window with other bounds in which the same has happened.
+// With returns a window with other bounds. The counts are kept if the span is the same.
 func (w *Window) With(share, reserve float64, span time.Duration) *Window {
 	next := NewWindow(share, reserve, span)
 	if span == w.span {
-		next.parts = w.parts
+		next.buckets = w.buckets
 	}
 	return next
 }
 
-// Request counts a request that is sent for the first time.
-func (w *Window) Request(now time.Time) { w.part(now).requests++ }
+// Request counts the first attempt of a request.
+func (w *Window) Request(now time.Time) { w.bucket(now).requests++ }
 
-// Spend takes one retry, or reports that there may be none now.
+// Spend takes one retry, or returns false if none is allowed now.
 func (w *Window) Spend(now time.Time) bool {
 	requests, retries := w.count(now)
 	if float64(retries+1) > w.share*float64(requests)+w.reserve {
 		return false
 	}
-	w.part(now).retries++
+	w.bucket(now).retries++
 	return true
 }
 
-// count returns the requests and retries of the span that ends now. The part at its
-// beginning, which lies in it partly, counts for retries only.
+// count returns the requests and retries of the window that ends now. The oldest bucket
+// lies only partly in the window: its retries count, its requests do not.
 func (w *Window) count(now time.Time) (requests, retries int) {
-	last := w.number(now)
-	for n, p := range w.parts {
+	last := w.index(now)
+	for n, p := range w.buckets {
 		switch {
-		case n < last-windowParts:
-			delete(w.parts, n)
-		case n == last-windowParts:
+		case n < last-windowBuckets:
+			delete(w.buckets, n)
+		case n == last-windowBuckets:
 			retries += p.retries
 		default:
 			requests += p.requests
@@ -72,16 +72,16 @@
 	return requests, retries
 }
 
-func (w *Window) number(now time.Time) int64 {
-	return now.UnixNano() / max(1, int64(w.span/windowParts))
+func (w *Window) index(now time.Time) int64 {
+	return now.UnixNano() / max(1, int64(w.span/windowBuckets))
 }
 
-func (w *Window) part(now time.Time) *windowPart {
-	n := w.number(now)
-	p, ok := w.parts[n]
+func (w *Window) bucket(now time.Time) *windowBucket {
+	n := w.index(now)
+	p, ok := w.buckets[n]
 	if !ok {
-		p = &windowPart{}
-		w.parts[n] = p
+		p = &windowBucket{}
+		w.buckets[n] = p
 	}
 	return p
 }
--- a/internal/core/retry/window_test.go
+++ b/internal/core/retry/window_test.go
@@ -11,9 +11,9 @@
 
 var t0 = time.Unix(1000, 0)
 
-// A crash may break many requests at once: they may be tried again as far as the
-// requests before it allow.
-func TestWindowAfterACrash(t *testing.T) {
+// After a crash that breaks many requests at once, as many retries are allowed as the
+// requests before it permit.
+func TestWindowAfterCrash(t *testing.T) {
 	is := is.New(t)
 	w := NewWindow(0.2, 2, 10*time.Second)
 	for i := range 100 {
@@ -26,17 +26,17 @@
 	}
 	is.Equal(n, 22)
 	is.True(!w.Spend(now.Add(time.Second)))
-	later := now.Add(12 * time.Second) // nothing was sent meanwhile
+	later := now.Add(12 * time.Second) // no requests in between
 	is.True(w.Spend(later))
 	is.True(w.Spend(later))
 	is.True(!w.Spend(later))
 	is.True(w.With(0.2, 4, 10*time.Second).Spend(later))
-	is.True(len(w.parts) <= windowParts+1)
+	is.True(len(w.buckets) <= windowBuckets+1)
 }
 
-// Whatever fails, and whenever, the retries of all gateways keep to the share and the
-// whole reserve in every span, also when parts of the fleet hear nothing of each other.
-func TestWindowsOfAFleet(t *testing.T) {
+// For any pattern of failures, the retries of all gateways keep to the share plus the whole
+// reserve in every window, also when parts of the fleet do not hear from each other.
+func TestWindowsOfFleet(t *testing.T) {
 	const (
 		share   = 0.2
 		reserve = 60.0
@@ -68,19 +68,19 @@
 					}
 				}
 			}
-			wide := int(span / step)
+			windowSteps := int(span / step)
 			most := 0
-			for end := wide; end <= steps; end++ {
+			for end := windowSteps; end <= steps; end++ {
 				sent, again := 0, 0
-				for s := end - wide; s < end; s++ {
+				for s := end - windowSteps; s < end; s++ {
 					sent += requests[s]
 					again += retries[s]
 				}
 				is.True(float64(again) <= share*float64(sent)+reserve)
 				most = max(most, again)
 			}
-			t.Logf("%d retries in the worst span", most)
-			is.True(most > 300) // it is used, not only kept to
+			t.Logf("at most %d retries in one window", most)
+			is.True(most > 300) // the budget is used, not only respected
 		})
 	}
 }
