--- a/internal/core/gateway/admit.go
+++ b/internal/core/gateway/admit.go
@@ -6,7 +6,7 @@
 	"github.com/gladegauge/gladegauge/internal/core/ingress"
 )
 
-// Call is what admission needs to know of a request.
+// Call holds the properties of a request that admission needs.
 type Call struct {
 	ID   string
 	Host string
@@ -16,18 +16,17 @@
 	Patience time.Duration
 }
 
-// Bounds are the times that admission, and those who follow the store for it, keep
-// to.
+// Bounds are the maximum ages of the view that admission, and the code that follows the
+// store for it, accept.
 type Bounds struct {
-	// KeyAge is the age of the view up to which keys are honoured; 0 means
-	// any age.
+	// KeyAge is the maximum age of the view up to which keys are accepted; 0 means any age.
 	KeyAge time.Duration
-	// DenyAge is the age of the view up to which the lack of a route or a key
-	// is certain. An older view may just not know them yet.
+	// DenyAge is the maximum age of the view up to which a missing route or key is
+	// definitive. An older view may not contain it yet.
 	DenyAge time.Duration
-	// ListAge is the age of the view up to which it is relied on without asking the
-	// store: a leaving upstream must get nothing new by then, and a configuration must
-	// be in force. 0 means any age.
+	// ListAge is the maximum age of the view up to which it is used without asking the
+	// store: by then a leaving upstream must get no new requests, and a new configuration
+	// must be in force. 0 means any age.
 	ListAge time.Duration
 	// UrgencySteps is the number of urgency classes of the upstreams.
 	UrgencySteps int
@@ -40,37 +39,37 @@
 	Organisation *ingress.Organisation
 	Pool         string
 	Urgency      int
-	// Deadline is the end of the caller's patience or of the route's timeout,
-	// whichever is first.
+	// Deadline is the end of the caller's wait or of the route's timeout, whichever is
+	// first.
 	Deadline time.Time
-	// Version and Age are of the configuration that decided.
+	// Version and Age are those of the configuration that the decision is based on.
 	Version int64
 	Age     time.Duration
 }
 
-// Admit holds a request against the view.
+// Admit checks a request against the view.
 func Admit(now time.Time, v ingress.View, c Call, b Bounds) (Admission, *Refusal) {
 	if v.Table == nil {
-		return Admission{}, notRun(NoConfiguration, comeBackLater)
+		return Admission{}, unavailable(NoConfiguration, retryAfterLong)
 	}
 	age := v.Age(now)
 	a := Admission{Version: v.Table.Version, Age: age}
 	certain := age <= b.DenyAge
 	route, ok := v.Table.Route(c.Host, c.Path)
 	if !ok {
-		return a, deny(certain, NotFound, NoRoute)
+		return a, deniedIfCertain(certain, NotFound, NoRoute)
 	}
 	a.Route = route
 	if v.Table.NeedsKey(route) {
 		if b.KeyAge > 0 && age > b.KeyAge {
-			return a, notRun(ViewTooOld, comeBackLater)
+			return a, unavailable(ViewTooOld, retryAfterLong)
 		}
 		if c.Key == "" {
 			return a, denied(Unauthorised, NoKey)
 		}
 		o, ok := v.Table.Organisation(c.Key)
 		if !ok {
-			return a, deny(certain, Unauthorised, UnknownKey)
+			return a, deniedIfCertain(certain, Unauthorised, UnknownKey)
 		}
 		a.Organisation = o
 	}
@@ -83,9 +82,9 @@
 	return a, nil
 }
 
-func deny(certain bool, kind Kind, reason Reason) *Refusal {
+func deniedIfCertain(certain bool, kind Kind, reason Reason) *Refusal {
 	if !certain {
-		return notRun(ViewTooOld, comeBackLater)
+		return unavailable(ViewTooOld, retryAfterLong)
 	}
 	return denied(kind, reason)
 }
--- a/internal/core/gateway/doc.go
+++ b/internal/core/gateway/doc.go
@@ -1,13 +1,12 @@
-// Package gateway decides what becomes of a request at a host that calls the
-// upstreams itself, without agents beside them.
+// Package gateway decides how requests are handled by a host that calls the upstreams
+// itself, without agents next to them.
 //
-// Admit holds a request against the configuration and the proof of its age.
-// Next decides, after an attempt failed, whether another one may follow. Both
-// are pure functions: the same inputs give the same outcome, and each outcome
-// carries the reason that goes into the logs.
+// Admit checks a request against the configuration and its age. Next decides after a failed
+// attempt whether another one may follow. Both are pure functions: the same inputs give the
+// same outcome, and each outcome carries the reason that is logged.
 //
-// A refusal with NotRun promises that the request has not run and will not
-// run. It is given only if every attempt was provably not run.
+// A refusal with NotRun promises that the request has not run and will not run. It is
+// returned only if no attempt can have run.
 //
 // # Usage
 //
--- a/internal/core/gateway/gateway_test.go
+++ b/internal/core/gateway/gateway_test.go
@@ -34,14 +34,14 @@
 		kind   Kind
 		reason Reason
 	}{
-		{"a young view", 0, Call{Path: "/a/1", Key: "k"}, 0, ""},
+		{"a recent view", 0, Call{Path: "/a/1", Key: "k"}, 0, ""},
 		{"an old view still knows the key", 4 * time.Second, Call{Path: "/a/1", Key: "k"}, 0, ""},
 		{"a view that may miss a revocation", 4*time.Second + 1, Call{Path: "/a/1", Key: "k"}, Unavailable, ViewTooOld},
 		{"a public route needs no key", time.Hour, Call{Path: "/open/1"}, 0, ""},
-		{"no route, surely", 0, Call{Path: "/none/"}, NotFound, NoRoute},
-		{"no route, as far as is known", 3 * time.Second, Call{Path: "/none/"}, Unavailable, ViewTooOld},
-		{"an unknown key, surely", 0, Call{Path: "/a/1", Key: "z"}, Unauthorised, UnknownKey},
-		{"an unknown key, as far as is known", 3 * time.Second, Call{Path: "/a/1", Key: "z"}, Unavailable, ViewTooOld},
+		{"no route, definitive", 0, Call{Path: "/none/"}, NotFound, NoRoute},
+		{"no route, view too old to be definitive", 3 * time.Second, Call{Path: "/none/"}, Unavailable, ViewTooOld},
+		{"an unknown key, definitive", 0, Call{Path: "/a/1", Key: "z"}, Unauthorised, UnknownKey},
+		{"an unknown key, view too old to be definitive", 3 * time.Second, Call{Path: "/a/1", Key: "z"}, Unavailable, ViewTooOld},
 		{"no key", 3 * time.Second, Call{Path: "/a/1"}, Unauthorised, NoKey},
 	}
 	for _, tt := range tests {
@@ -67,8 +67,8 @@
 	is.Equal(refusal.Reason, NoConfiguration)
 }
 
-// A request that may run once goes on only after failures that prove that it
-// did not run, and the words of a refusal are true.
+// Checks that a request that may run only once is retried only after failures that prove
+// that it did not run, and that refusals state correctly whether it ran.
 func TestNext(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -76,8 +76,8 @@
 		resume   bool
 		failures []Failure
 		now      time.Time
-		poor     bool
-		fixed    bool
+		noBudget bool
+		bodyGone bool
 		answered bool
 		backed   bool
 		suspect  bool
@@ -86,39 +86,39 @@
 		notRun   bool
 	}{
 		{name: "once, unreachable", kind: ingress.Once, failures: []Failure{Unsent}, do: Again},
-		{name: "once, unreachable costs no budget", kind: ingress.Once, failures: []Failure{Unsent}, poor: true, do: Again},
+		{name: "once, unreachable costs no budget", kind: ingress.Once, failures: []Failure{Unsent}, noBudget: true, do: Again},
 		{name: "once, four unreachable", kind: ingress.Once, failures: []Failure{Unsent, Unsent, Unsent, Unsent}, do: Refuse, refusal: Unavailable, notRun: true},
 		{name: "once, refused", kind: ingress.Once, failures: []Failure{NotRun}, do: Again},
-		{name: "once, refused, no budget", kind: ingress.Once, failures: []Failure{NotRun}, poor: true, do: Refuse, refusal: Unavailable, notRun: true},
+		{name: "once, refused, no budget", kind: ingress.Once, failures: []Failure{NotRun}, noBudget: true, do: Refuse, refusal: Unavailable, notRun: true},
 		{name: "once, replaced", kind: ingress.Once, failures: []Failure{Replaced}, do: Again},
-		{name: "once, replaced, no budget", kind: ingress.Once, failures: []Failure{Replaced}, poor: true, do: Refuse, refusal: Unavailable, notRun: true},
+		{name: "once, replaced, no budget", kind: ingress.Once, failures: []Failure{Replaced}, noBudget: true, do: Refuse, refusal: Unavailable, notRun: true},
 		{name: "once, replaced twice and refused", kind: ingress.Once, failures: []Failure{Replaced, Replaced, NotRun}, do: Again},
 		{name: "once, replaced four times", kind: ingress.Once, failures: []Failure{Replaced, Replaced, Replaced, Replaced}, do: Refuse, refusal: Unavailable, notRun: true},
 		{name: "once, lost and then replaced", kind: ingress.Once, failures: []Failure{Lost, Replaced}, do: Refuse, refusal: Unknown},
 		{name: "once, refused twice", kind: ingress.Once, failures: []Failure{NotRun, NotRun}, do: Refuse, refusal: Unavailable, notRun: true},
-		{name: "once, refused, body gone", kind: ingress.Once, failures: []Failure{NotRun}, fixed: true, do: Refuse, refusal: Unavailable, notRun: true},
+		{name: "once, refused, body gone", kind: ingress.Once, failures: []Failure{NotRun}, bodyGone: true, do: Refuse, refusal: Unavailable, notRun: true},
 		{name: "once, lost", kind: ingress.Once, failures: []Failure{Lost}, do: Refuse, refusal: Unknown},
-		{name: "once, silent", kind: ingress.Once, failures: []Failure{Silent}, do: Refuse, refusal: Unknown},
+		{name: "once, attempt timed out", kind: ingress.Once, failures: []Failure{Silent}, do: Refuse, refusal: Unknown},
 		{name: "once, faulty", kind: ingress.Once, failures: []Failure{Faulty}, do: Relay},
 		{name: "once, refused and then lost", kind: ingress.Once, failures: []Failure{NotRun, Lost}, do: Refuse, refusal: Unknown},
-		{name: "once, lost at the end", kind: ingress.Once, failures: []Failure{Lost}, now: t0.Add(time.Second), do: Refuse, refusal: TimedOut},
+		{name: "once, lost at the deadline", kind: ingress.Once, failures: []Failure{Lost}, now: t0.Add(time.Second), do: Refuse, refusal: TimedOut},
 		{name: "repeatable, lost", kind: ingress.Repeatable, failures: []Failure{Lost}, do: Again},
-		{name: "repeatable, lost, no budget", kind: ingress.Repeatable, failures: []Failure{Lost}, poor: true, do: Refuse, refusal: Unknown},
+		{name: "repeatable, lost, no budget", kind: ingress.Repeatable, failures: []Failure{Lost}, noBudget: true, do: Refuse, refusal: Unknown},
 		{name: "repeatable, lost and refused", kind: ingress.Repeatable, failures: []Failure{Lost, NotRun}, do: Refuse, refusal: Unknown},
 		{name: "repeatable, faulty twice", kind: ingress.Repeatable, failures: []Failure{Faulty, Faulty}, do: Relay},
-		{name: "repeatable, no time", kind: ingress.Repeatable, failures: []Failure{Lost}, now: t0.Add(999 * time.Millisecond), do: Refuse, refusal: Unknown},
+		{name: "repeatable, no time left", kind: ingress.Repeatable, failures: []Failure{Lost}, now: t0.Add(999 * time.Millisecond), do: Refuse, refusal: Unknown},
 		{name: "stream, lost", kind: ingress.Stream, failures: []Failure{Lost}, do: Refuse, refusal: Unknown},
 		{name: "stream, lost in the middle", kind: ingress.Stream, failures: []Failure{Lost}, answered: true, do: Cut},
 		{name: "resumable, lost in the middle", kind: ingress.Stream, resume: true, failures: []Failure{Lost}, answered: true, do: Again},
 		{name: "resumable, lost twice", kind: ingress.Stream, resume: true, failures: []Failure{Lost, Lost}, answered: true, do: Cut},
 		{name: "backed, lost in the middle", kind: ingress.Stream, failures: []Failure{Lost}, answered: true, backed: true, do: Continue},
-		{name: "backed, silent in the middle", kind: ingress.Stream, failures: []Failure{Silent}, answered: true, backed: true, do: Continue},
-		{name: "backed, lost in the middle, no budget", kind: ingress.Stream, failures: []Failure{Lost}, answered: true, backed: true, poor: true, do: Cut},
+		{name: "backed, timed out in the middle", kind: ingress.Stream, failures: []Failure{Silent}, answered: true, backed: true, do: Continue},
+		{name: "backed, lost in the middle, no budget", kind: ingress.Stream, failures: []Failure{Lost}, answered: true, backed: true, noBudget: true, do: Cut},
 		{name: "backed, lost before its first event", kind: ingress.Stream, failures: []Failure{Lost}, backed: true, do: Refuse, refusal: Unknown},
 		{name: "backed, its copy was refused", kind: ingress.Stream, failures: []Failure{Lost, NotRun}, answered: true, do: Cut},
 		{name: "backed, its copy's engine is unreachable", kind: ingress.Stream, failures: []Failure{Lost, Unsent}, answered: true, do: Cut},
 		{name: "backed, its copy's engine was replaced", kind: ingress.Stream, failures: []Failure{Lost, Replaced}, answered: true, do: Cut},
-		{name: "backed, no time", kind: ingress.Stream, failures: []Failure{Lost}, answered: true, backed: true, now: t0.Add(999 * time.Millisecond), do: Cut},
+		{name: "backed, no time left", kind: ingress.Stream, failures: []Failure{Lost}, answered: true, backed: true, now: t0.Add(999 * time.Millisecond), do: Cut},
 		{name: "suspect, lost", kind: ingress.Repeatable, suspect: true, failures: []Failure{Lost}, do: Refuse, refusal: Unknown},
 		{name: "suspect, lost in the middle", kind: ingress.Stream, resume: true, suspect: true, failures: []Failure{Lost}, answered: true, do: Cut},
 		{name: "suspect with a copy, lost in the middle", kind: ingress.Stream, suspect: true, failures: []Failure{Lost}, answered: true, backed: true, do: Cut},
@@ -130,7 +130,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			a := Admission{Deadline: t0.Add(time.Second), Route: &ingress.Route{Kind: tt.kind, Resumable: tt.resume, MaxAttempts: 2}}
-			p := Progress{Replayable: !tt.fixed, Answering: tt.answered, Backed: tt.backed, Suspect: tt.suspect}
+			p := Progress{Replayable: !tt.bodyGone, Answering: tt.answered, Backed: tt.backed, Suspect: tt.suspect}
 			for _, f := range tt.failures {
 				p = p.With(f)
 			}
@@ -138,7 +138,7 @@
 			if now.IsZero() {
 				now = t0
 			}
-			step := Next(now, a, p, tt.failures[len(tt.failures)-1], func() bool { return !tt.poor })
+			step := Next(now, a, p, tt.failures[len(tt.failures)-1], func() bool { return !tt.noBudget })
 			is.Equal(step.Do, tt.do)
 			if tt.do == Refuse {
 				is.Equal(step.Refusal.Kind, tt.refusal)
@@ -149,7 +149,7 @@
 	}
 }
 
-func TestNothingLeft(t *testing.T) {
+func TestNoUpstreamLeft(t *testing.T) {
 	is := is.New(t)
 	a := Admission{Deadline: t0.Add(time.Second), Route: &ingress.Route{Kind: ingress.Repeatable, MaxAttempts: 2}}
 	is.Equal(NothingLeft(t0, a, Progress{}).Reason, NoUpstream)
--- a/internal/core/gateway/next.go
+++ b/internal/core/gateway/next.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Failure is how an attempt ended without a good answer. The zero value is none.
+// Failure says how an attempt failed. The zero value means no failure.
 type Failure int
 
 // Failures of an attempt.
@@ -13,19 +13,19 @@
 	Unsent
 	// NotRun means that the upstream promised not to have run it.
 	NotRun
-	// Faulty means that the upstream answered with an error of its own.
+	// Faulty means that the upstream returned an error response.
 	Faulty
-	// Lost means that there was no answer, or none that can be used.
+	// Lost means that there was no response, or no usable one.
 	Lost
-	// Replaced means that another start answers at the upstream's address, and
-	// refused what was meant for the one before.
+	// Replaced means that another instance now runs at the upstream's address and rejected
+	// a request addressed to the previous one.
 	Replaced
 	// Silent means that the gateway stopped waiting for this upstream.
 	Silent
-	// CallerGone means that the caller has left.
+	// CallerGone means that the caller has disconnected.
 	CallerGone
-	// Withheld means that the upstream said that it wants nothing while the request was
-	// on its way: no byte was written.
+	// Withheld means that the upstream announced that it accepts no requests before a byte
+	// of this one was written.
 	Withheld
 )
 
@@ -40,35 +40,35 @@
 
 // Bounds of attempts.
 const (
-	// maxUnsent is the number of upstreams that may turn out unreachable
-	// before the request is refused. They do not count as attempts.
-	maxUnsent = 4
-	// leastLeft is the time that must be left for another attempt to be worth
-	// it: a round trip and a short answer.
-	leastLeft = 15 * time.Millisecond
+	// maxUnreachable is the number of upstreams that may be unreachable before the request
+	// is refused. They do not count as attempts.
+	maxUnreachable = 4
+	// minRemaining is the minimum remaining time for another attempt: a round trip and a
+	// short response.
+	minRemaining = 15 * time.Millisecond
 )
 
-// Progress is what happened to a request so far.
+// Progress summarises the attempts of a request so far.
 type Progress struct {
-	// Sent is the number of upstreams that a byte of it was written to.
+	// Sent is the number of upstreams that at least one byte of the request was written to.
 	Sent int
-	// Unsent is the number of upstreams that could not be reached, or that are
-	// no longer at their address.
+	// Unsent is the number of upstreams that could not be reached, or are no longer at
+	// their address.
 	Unsent int
-	// MayHaveRun is true once an attempt is not provably unrun.
+	// MayHaveRun is true once an attempt has been made that is not provably unrun.
 	MayHaveRun bool
-	// Answering is true once the head of an answer went to the caller.
+	// Answering is true once the response headers were sent to the caller.
 	Answering bool
-	// Backed is true while another engine keeps a copy of the run's memory.
+	// Backed is true while another engine keeps a copy of the run's KV cache.
 	Backed bool
-	// Suspect is true if upstreams ended under the request more than once: it runs
-	// once, as each further run may end another upstream.
+	// Suspect is true if several upstreams crashed while running the request. It runs only
+	// once, as each further run may crash another upstream.
 	Suspect bool
-	// Replayable is false if the body was passed on without being kept.
+	// Replayable is false if the body was forwarded without being kept.
 	Replayable bool
 }
 
-// With returns the progress after an attempt failed.
+// With returns the progress after a failed attempt.
 func (p Progress) With(f Failure) Progress {
 	switch f {
 	case Unsent, Replaced, Withheld:
@@ -82,22 +82,22 @@
 	return p
 }
 
-// Action is what is done after an attempt failed.
+// Action is what to do after a failed attempt.
 type Action int
 
 // Actions after a failure.
 const (
-	// Again tries another upstream.
+	// Again sends the request to another upstream.
 	Again Action = iota + 1
-	// Continue goes on from the copy of the run's memory. It is the same run, so
-	// that it also suits requests that may run once.
+	// Continue resumes the run from the copy of its KV cache. It is the same run, so this
+	// is also allowed for requests that may run only once.
 	Continue
-	// Relay passes on the upstream's own answer.
+	// Relay forwards the upstream's own response.
 	Relay
-	// Refuse answers with the refusal.
+	// Refuse responds with the refusal.
 	Refuse
-	// Cut closes the caller's connection: the head of an answer went out, and
-	// the rest will not come.
+	// Cut closes the caller's connection: the response headers were sent, but the rest
+	// cannot be delivered.
 	Cut
 )
 
@@ -107,8 +107,8 @@
 	Refusal *Refusal
 }
 
-// Next decides what follows a failure. The progress includes it. Spend takes a
-// retry from the budget and is called only if one is due.
+// Next decides what follows a failure, which the progress already includes. It calls spend,
+// which takes a retry from the budget, only if the action needs one.
 func Next(now time.Time, a Admission, p Progress, f Failure, spend func() bool) Step {
 	if f == CallerGone {
 		return Step{Do: Cut}
@@ -116,7 +116,7 @@
 	if mayContinue(now, a, p, f) && spend() {
 		return Step{Do: Continue}
 	}
-	if mayTryAgain(now, a, p, f) && (f == Unsent || f == Withheld || spend()) {
+	if mayRetry(now, a, p, f) && (f == Unsent || f == Withheld || spend()) {
 		return Step{Do: Again}
 	}
 	switch {
@@ -129,15 +129,15 @@
 	}
 }
 
-// mayContinue reports whether the run may go on from its copy. Before its first
-// event there may be none yet.
+// mayContinue reports whether the run may resume from its copy. Before its first event
+// there may be no copy yet.
 func mayContinue(now time.Time, a Admission, p Progress, f Failure) bool {
 	return p.Backed && p.Answering && p.Replayable && !p.Suspect &&
-		(f == Lost || f == Silent) && a.Deadline.Sub(now) >= leastLeft
+		(f == Lost || f == Silent) && a.Deadline.Sub(now) >= minRemaining
 }
 
-func mayTryAgain(now time.Time, a Admission, p Progress, f Failure) bool {
-	if a.Deadline.Sub(now) < leastLeft || p.Sent >= a.Route.MaxAttempts {
+func mayRetry(now time.Time, a Admission, p Progress, f Failure) bool {
+	if a.Deadline.Sub(now) < minRemaining || p.Sent >= a.Route.MaxAttempts {
 		return false
 	}
 	if p.MayHaveRun && (p.Suspect || !a.Route.MayRepeat()) {
@@ -145,9 +145,9 @@
 	}
 	switch f {
 	case Unsent, Withheld:
-		return p.Unsent < maxUnsent
+		return p.Unsent < maxUnreachable
 	case Replaced:
-		return p.Replayable && p.Unsent < maxUnsent
+		return p.Replayable && p.Unsent < maxUnreachable
 	case NotRun:
 		return p.Replayable
 	default:
@@ -155,7 +155,7 @@
 	}
 }
 
-// refusalAfter tells the caller the truth about what ran.
+// refusalAfter returns a refusal that tells the caller whether the request may have run.
 func refusalAfter(now time.Time, a Admission, p Progress, f Failure) *Refusal {
 	switch {
 	case p.MayHaveRun && !now.Before(a.Deadline):
@@ -163,19 +163,19 @@
 	case p.MayHaveRun:
 		return unknown(Unknown, OutcomeUnknown)
 	case f == NotRun:
-		return notRun(RefusedByAll, comeBackSoon)
+		return unavailable(RefusedByAll, retryAfterShort)
 	default:
-		return notRun(Unreachable, comeBackSoon)
+		return unavailable(Unreachable, retryAfterShort)
 	}
 }
 
-// NothingLeft is the refusal when no upstream is left to try.
+// NothingLeft returns the refusal if no upstream is left to try.
 func NothingLeft(now time.Time, a Admission, p Progress) *Refusal {
 	if p.MayHaveRun {
 		return refusalAfter(now, a, p, Lost)
 	}
 	if p.Sent+p.Unsent == 0 {
-		return notRun(NoUpstream, comeBackLater)
+		return unavailable(NoUpstream, retryAfterLong)
 	}
 	return refusalAfter(now, a, p, NotRun)
 }
--- a/internal/core/gateway/refusal.go
+++ b/internal/core/gateway/refusal.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Kind is what a refusal tells the caller.
+// Kind classifies refusals by what they tell the caller.
 type Kind int
 
 // Kinds of refusal. Unavailable and TimedOutReading promise that the request
@@ -13,14 +13,14 @@
 	Unauthorised
 	TooLarge
 	TimedOutReading
-	// Harmful requests end the upstreams that run them: coming back is useless.
+	// Harmful requests crash the upstreams that run them; the caller should not retry.
 	Harmful
 	// Unknown and TimedOut promise nothing.
 	Unknown
 	TimedOut
 )
 
-// Reason says in logs and metrics why a request was refused.
+// Reason is the cause of a refusal in logs and metrics.
 type Reason string
 
 // Reasons of refusals.
@@ -42,32 +42,31 @@
 	EndsUpstreams   Reason = "ends_upstreams"
 	SuspectRuns     Reason = "suspect_runs"
 	UpstreamsRest   Reason = "upstreams_rest"
-	// UpstreamsLimited have as many requests as they take.
+	// UpstreamsLimited means that the upstreams are at their request limits.
 	UpstreamsLimited Reason = "upstreams_limited"
 )
 
-// Times after which a refused caller should come back.
+// Retry delays that refusals tell the caller.
 const (
-	// comeBackSoon suits what passes in moments: another upstream is tried
-	// then. It is a few round trips.
-	comeBackSoon = 50 * time.Millisecond
-	// comeBackLater suits an outage: upstreams and configurations come back
-	// within seconds.
-	comeBackLater = 500 * time.Millisecond
+	// retryAfterShort is for transient conditions, after which another upstream is tried: a
+	// few round trips.
+	retryAfterShort = 50 * time.Millisecond
+	// retryAfterLong is for outages: upstreams and configurations recover within seconds.
+	retryAfterLong = 500 * time.Millisecond
 )
 
-// Refusal is an answer of the gateway's own.
+// Refusal is a response that the gateway generates itself.
 type Refusal struct {
 	Kind   Kind
 	Reason Reason
 	// NotRun promises that the request has not run and will not run.
 	NotRun bool
-	// ComeBack is when the caller may try again; 0 says nothing.
+	// ComeBack is the delay after which the caller may retry; 0 if unspecified.
 	ComeBack time.Duration
 }
 
-func notRun(reason Reason, comeBack time.Duration) *Refusal {
-	return &Refusal{Kind: Unavailable, Reason: reason, NotRun: true, ComeBack: comeBack}
+func unavailable(reason Reason, retryAfter time.Duration) *Refusal {
+	return &Refusal{Kind: Unavailable, Reason: reason, NotRun: true, ComeBack: retryAfter}
 }
 
 func denied(kind Kind, reason Reason) *Refusal {
@@ -78,55 +77,59 @@
 	return &Refusal{Kind: kind, Reason: reason}
 }
 
-// ForUpstreams reports whether nothing ran for want of an upstream that takes the request.
+// ForUpstreams reports whether the request has not run because no upstream accepted it.
 func (r *Refusal) ForUpstreams() bool {
 	return r.NotRun && (r.Reason == NoUpstream || r.Reason == RefusedByAll || r.Reason == Unreachable)
 }
 
-// WithRest returns such a refusal if all upstreams that are there rest for so long: to come
-// back sooner helps nobody.
+// WithRest returns a refusal that tells the caller to retry after left, the time until the
+// first of the available upstreams accepts requests again. If left is 0, it returns r
+// unchanged.
 func (r *Refusal) WithRest(left time.Duration) *Refusal {
 	if left <= 0 {
 		return r
 	}
-	return notRun(UpstreamsRest, left)
+	return unavailable(UpstreamsRest, left)
 }
 
-// WithLimit returns such a refusal if the upstreams that are there have no turn for so long.
+// WithLimit returns a refusal that tells the caller to retry after left, the time until the
+// limits of the available upstreams admit another request. If left is 0, it returns r
+// unchanged.
 func (r *Refusal) WithLimit(left time.Duration) *Refusal {
 	if left <= 0 {
 		return r
 	}
-	return notRun(UpstreamsLimited, left)
+	return unavailable(UpstreamsLimited, left)
 }
 
-// Stopping refuses a request that came too late to a process that stops.
-func Stopping() *Refusal { return notRun(StoppingProcess, comeBackSoon) }
+// Stopping refuses a request that arrived while the process shuts down.
+func Stopping() *Refusal { return unavailable(StoppingProcess, retryAfterShort) }
 
-// Busy refuses a request that would wait for too long; it may come back after the time.
-func Busy(comeBack time.Duration) *Refusal { return notRun(PoolBusy, comeBack) }
+// Busy refuses a request that would wait too long, with the delay after which the caller
+// may retry.
+func Busy(retryAfter time.Duration) *Refusal { return unavailable(PoolBusy, retryAfter) }
 
-// Ends refuses a request under which upstreams ended, one after the other. It is not
-// tried again here, and its caller should not come back with it. Ran is true if the
-// last of them ended under this very attempt.
+// Ends refuses a request during which upstreams crashed one after the other. It is not
+// retried here, and its caller should not retry it either. Ran is true if the last crash
+// happened during this attempt.
 func Ends(ran bool) *Refusal {
 	return &Refusal{Kind: Harmful, Reason: EndsUpstreams, NotRun: !ran}
 }
 
-// TooLate refuses a request whose time ran out before it was sent on: the host stood
-// still.
+// TooLate refuses a request whose deadline passed before it was sent on, because the host
+// was suspended.
 func TooLate(p Progress) *Refusal {
 	if p.MayHaveRun {
 		return unknown(TimedOut, OutOfTime)
 	}
-	return notRun(OutOfTime, comeBackSoon)
+	return unavailable(OutOfTime, retryAfterShort)
 }
 
-// Occupied refuses a suspect request while another run of it is under way.
-func Occupied() *Refusal { return notRun(SuspectRuns, comeBackLater) }
+// Occupied refuses a suspect request while another run of it is in progress.
+func Occupied() *Refusal { return unavailable(SuspectRuns, retryAfterLong) }
 
-// Body returns the refusal of a request whose body is too large or did not
-// come. Nothing was sent to an upstream.
+// Body refuses a request whose body is too large or did not arrive. Nothing was sent to an
+// upstream.
 func Body(tooLarge bool) *Refusal {
 	if tooLarge {
 		return denied(TooLarge, BodyTooLarge)
