--- a/internal/core/rendezvous/rendezvous.go
+++ b/internal/core/rendezvous/rendezvous.go
@@ -1,7 +1,7 @@
-// Package rendezvous ranks members by highest random weight.
+// Package rendezvous ranks members by rendezvous hashing (highest random weight).
 //
-// Every process that knows the same members gets the same ranking for a key,
-// and a member that leaves moves only what it held.
+// Every process with the same members computes the same ranking for a key, and a member
+// that leaves moves only the keys that it held.
 //
 // # Usage
 //
@@ -14,12 +14,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Score is the weight of a member for a key.
+// Score returns the weight of a member for a key.
 func Score(key, member string) uint64 {
 	return Mix(xxhash.Sum64String(key), xxhash.Sum64String(member))
 }
 
-// Mix joins two hashes into one score.
+// Mix combines two hashes into one score.
 func Mix(a, b uint64) uint64 {
 	x := a ^ (b * 0x9e3779b97f4a7c15)
 	x ^= x >> 30
@@ -29,13 +29,13 @@
 	return x ^ (x >> 31)
 }
 
-// Steps is the number of values that Part may have.
+// Steps is the number of different values that Part returns.
 const Steps = 1024
 
-// Part is a part by a hash, from 0 up to 1: it spreads in time what would come at once.
+// Part maps a hash to a fraction in [0, 1), to spread simultaneous events over time.
 func Part(hash uint64) float64 { return float64(hash%Steps) / Steps }
 
-// Rank returns the members by falling score for the key.
+// Rank returns the members by descending score for the key.
 func Rank(key string, members []string) []string {
 	type scored struct {
 		member string
--- a/internal/core/spread/spread.go
+++ b/internal/core/spread/spread.go
@@ -1,10 +1,10 @@
-// Package spread decides who reads from the platform and who tells whom.
+// Package spread selects the processes that read from the platform and the peers that
+// exchange what they know.
 //
-// A few watchers in each availability zone read the platform; every process
-// asks a few fixed peers in turn, and tells them at once when something is
-// new. Peers are chosen by rendezvous hashing, so the graph is sparse, changes
-// little when hosts come and go, and needs no agreement. Nobody is set aside:
-// when a watcher leaves the list, the next in rank watches.
+// A few watchers in each availability zone read the platform. Every process polls a few
+// fixed peers in turn, and notifies them at once of anything new. Peers are chosen by
+// rendezvous hashing, so the graph is sparse, changes little when hosts join or leave, and
+// needs no coordination. When a watcher leaves the list, the next in rank takes over.
 //
 // # Usage
 //
@@ -21,30 +21,31 @@
 	"github.com/gladegauge/gladegauge/internal/core/rendezvous"
 )
 
-// Sizes and times of the spread.
+// Sizes and intervals of dissemination.
 const (
-	// Watchers is the number of watchers of each availability zone.
+	// Watchers is the number of watchers in each availability zone.
 	Watchers = 2
-	// ZonePeers and OtherPeers are the peers in the own zone and outside.
+	// ZonePeers and OtherPeers are the numbers of peers inside and outside the process's
+	// own zone.
 	ZonePeers  = 4
 	OtherPeers = 2
 	// ExchangeEvery is the time between two exchanges with a peer.
 	ExchangeEvery = time.Second
-	// SilentAfter is the time without any answer from a peer or the platform
-	// after which a process reads the platform directly.
+	// SilentAfter is the time without a response from any peer or the platform after which
+	// a process reads the platform directly.
 	SilentAfter = 10 * time.Second
-	// ProofAfter is the age of the platform's word, as told from process to process, after
-	// which a process watches the platform by itself. It is two watches, and the way
-	// through a large fleet.
+	// ProofAfter is the age of the platform's latest confirmation, as relayed between
+	// processes, from which a process watches the platform itself: two watch intervals plus
+	// the propagation time in a large fleet.
 	ProofAfter = 45 * time.Second
-	// AloneFor is how long it does so.
+	// AloneFor is how long it then watches the platform.
 	AloneFor = 10 * time.Minute
-	// Lease is how long a process trusts what it last confirmed after a pause.
+	// Lease is the longest pause after which a process still trusts its last confirmation.
 	Lease = 10 * time.Second
 )
 
-// Watches reports whether the process is one of its zone's watchers. A process
-// that is not on the list yet watches, since nobody knows it as a peer.
+// Watches reports whether the process is one of its zone's watchers. A process that is not
+// on the list yet watches too, since no other process has it as a peer.
 func Watches(set *member.Set, self member.Host) bool {
 	live, listed := liveIDs(set.Zone(self.Zone), self.ID)
 	if !listed {
@@ -70,8 +71,8 @@
 	return ids, listed
 }
 
-// Peers returns the processes that the given one exchanges with: some of its
-// own zone and some of the others.
+// Peers returns the processes that the given one exchanges with: some in its own zone and
+// some in others.
 func Peers(set *member.Set, self member.Host) []member.Host {
 	var own, others []string
 	for _, h := range set.All() {
@@ -94,63 +95,65 @@
 	return peers
 }
 
-// Freshness decides whether what a process knows may be relied on.
+// Freshness tracks whether the knowledge of a process is recent enough to be used.
 type Freshness struct {
-	confirmed time.Time
-	// proved is when the platform said, to whomever, that what is known is the newest.
-	proved time.Time
-	// aloneUntil is until when the process watches the platform, whoever else does.
-	aloneUntil time.Time
-	ticked     time.Time
-	stale      bool
+	confirmedAt time.Time
+	// provenAt is the latest time at which the platform confirmed to any process that the
+	// known version is the newest.
+	provenAt time.Time
+	// directUntil is until when the process watches the platform although it is no watcher.
+	directUntil time.Time
+	lastTick    time.Time
+	paused      bool
 }
 
-// Confirmed tells that a peer or the platform answered.
+// Confirmed records a response of a peer or the platform.
 func (f *Freshness) Confirmed(now time.Time) {
-	f.confirmed = now
-	f.ticked = now
-	f.stale = false
+	f.confirmedAt = now
+	f.lastTick = now
+	f.paused = false
 }
 
-// Tick lets time pass. A gap longer than the lease since the last tick means
-// that the process was paused: it must ask again before it takes new work.
+// Tick records that the process is running. A gap longer than the lease since the last tick
+// means that the process was paused: it must get a new confirmation before it accepts new
+// work.
 func (f *Freshness) Tick(now time.Time) {
-	if !f.ticked.IsZero() && now.Sub(f.ticked) > Lease {
-		f.stale = true
+	if !f.lastTick.IsZero() && now.Sub(f.lastTick) > Lease {
+		f.paused = true
 	}
-	f.ticked = now
+	f.lastTick = now
 }
 
-// Ready reports whether the process has asked since it started or woke. An
-// outage that it lived through does not make it unready.
+// Ready reports whether the process has been confirmed since it started or resumed. An
+// outage of the others while it kept running does not make it unready.
 func (f *Freshness) Ready() bool {
-	return !f.confirmed.IsZero() && !f.stale
+	return !f.confirmedAt.IsZero() && !f.paused
 }
 
-// Proved tells that the platform said then, to whomever, that the version in force was the
-// newest.
+// Proved records that the platform confirmed at that time, to any process, that the version
+// in force was the newest.
 func (f *Freshness) Proved(at time.Time) {
-	if at.After(f.proved) {
-		f.proved = at
+	if at.After(f.provenAt) {
+		f.provenAt = at
 	}
 }
 
-// ProofAge returns the time since then; false if the platform never said so.
+// ProofAge returns the time since the latest such confirmation; false if there was none.
 func (f *Freshness) ProofAge(now time.Time) (time.Duration, bool) {
-	return max(0, now.Sub(f.proved)), !f.proved.IsZero()
+	return max(0, now.Sub(f.provenAt)), !f.provenAt.IsZero()
 }
 
-// Alone reports whether the process watches the platform though it is no watcher: nobody
-// that it hears of has had an answer for long. All watchers may have lost the platform at
-// once, while it still answers others.
+// Alone reports whether the process watches the platform although it is no watcher, because
+// no process that it hears from has had a response for long. All watchers may have lost the
+// platform at the same time while it still serves others.
 func (f *Freshness) Alone(now time.Time) bool {
-	if now.Sub(f.proved) > ProofAfter {
-		f.aloneUntil = now.Add(AloneFor)
+	if now.Sub(f.provenAt) > ProofAfter {
+		f.directUntil = now.Add(AloneFor)
 	}
-	return now.Before(f.aloneUntil)
+	return now.Before(f.directUntil)
 }
 
-// Silent reports whether nobody has answered for long.
+// Silent reports whether there has been no response for longer than SilentAfter.
 func (f *Freshness) Silent(now time.Time) bool {
-	return now.Sub(f.confirmed) > SilentAfter
+	return now.Sub(f.confirmedAt) > SilentAfter
 }
--- a/internal/core/spread/spread_test.go
+++ b/internal/core/spread/spread_test.go
@@ -37,7 +37,7 @@
 	return ids
 }
 
-func TestWatchersMoveOn(t *testing.T) {
+func TestWatchersFailOver(t *testing.T) {
 	is := is.New(t)
 	first := watchers(set(20), "a")
 	is.Equal(len(first), Watchers)
@@ -63,16 +63,16 @@
 	is := is.New(t)
 	t0 := time.Unix(1_800_000_000, 0)
 	var f Freshness
-	is.True(!f.Ready()) // Nobody was asked.
+	is.True(!f.Ready()) // No confirmation yet.
 	f.Confirmed(t0)
 	is.True(f.Ready())
 	for s := range 3600 {
 		f.Tick(t0.Add(time.Duration(s) * time.Second))
 	}
-	is.True(f.Ready()) // An outage that it lived through.
+	is.True(f.Ready()) // The process kept running during an outage.
 	is.True(f.Silent(t0.Add(time.Hour)))
 	f.Tick(t0.Add(2 * time.Hour))
-	is.True(!f.Ready()) // It was paused.
+	is.True(!f.Ready()) // The process was paused.
 	f.Confirmed(t0.Add(2 * time.Hour))
 	is.True(f.Ready())
 }
