--- a/internal/core/ingress/doc.go
+++ b/internal/core/ingress/doc.go
@@ -1,9 +1,9 @@
-// Package ingress says what an operator's configuration allows a request to do.
+// Package ingress evaluates what the operator's configuration allows for a request.
 //
-// A Table is one version of that configuration: routes by host and path, the
-// pools behind them, and the organisations with their keys. It is immutable;
-// the next version is a new Table. Time and health are no part of it: the
-// proof that a version is still the newest travels beside it in a View.
+// A Table is one immutable version of that configuration: routes by host and path, the
+// pools behind them, and the organisations with their keys. The next version is a new
+// Table. A Table contains neither times nor health; a View adds the latest time at which
+// its version was known to be the newest.
 //
 // # Usage
 //
--- a/internal/core/ingress/ingress_test.go
+++ b/internal/core/ingress/ingress_test.go
@@ -47,7 +47,8 @@
 	}
 }
 
-// The split is steady for an identity and near the weights over many.
+// The traffic split is stable for an identity and close to the weights over many
+// identities.
 func TestSplit(t *testing.T) {
 	is := is.New(t)
 	r := route("r", "/", 0)
@@ -63,7 +64,7 @@
 	is.Equal((&Route{}).Pool(7), "")
 }
 
-// The route's tier goes before the organisation's.
+// The route's tier takes precedence over the organisation's.
 func TestUrgency(t *testing.T) {
 	is := is.New(t)
 	table := tableOf(t, 1)
@@ -88,15 +89,15 @@
 	v, ok := View{}.WithTable(tableOf(t, 5), t0)
 	is.True(ok)
 	is.Equal(v.Age(t0.Add(time.Second)), time.Second)
-	is.Equal(v.WithProof(t0.Add(-time.Second)).NewestAt, t0) // an older proof proves nothing
+	is.Equal(v.WithProof(t0.Add(-time.Second)).NewestAt, t0) // an older proof has no effect
 	is.Equal(v.WithProof(t0.Add(time.Second)).Age(t0.Add(time.Second)), time.Duration(0))
 	for _, version := range []int64{4, 5} {
 		_, ok = v.WithTable(tableOf(t, version), t0.Add(time.Minute))
-		is.True(!ok) // never back
+		is.True(!ok) // no downgrade
 	}
 }
 
-// Only requests that nothing else stands below are least.
+// Only requests without any less urgent kind in their pool are the least urgent.
 func TestIsLeast(t *testing.T) {
 	route := func(name, pool string, tier int) *Route {
 		return &Route{Name: name, Prefix: "/" + name + "/", Kind: Stream, Tier: tier, Timeout: time.Second, MaxAttempts: 1, Shares: []Share{{Pool: pool, Weight: 1}}}
--- a/internal/core/ingress/route.go
+++ b/internal/core/ingress/route.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind says what may be done with a request whose answer was lost.
+// Kind says whether a request may be repeated after its response was lost.
 type Kind int
 
 // Kinds of request.
@@ -15,8 +15,8 @@
 	Repeatable Kind = iota + 1
 	// Once requests may run at most once.
 	Once
-	// Stream requests are answered event by event. They may run at most once
-	// unless the route is resumable.
+	// Stream requests are answered with an event stream. They may run at most once unless
+	// the route is resumable.
 	Stream
 )
 
@@ -40,7 +40,7 @@
 	Weight int
 }
 
-// Route is a set of paths that are served alike.
+// Route is a set of paths with the same configuration.
 type Route struct {
 	Name string
 	Host string
@@ -49,19 +49,19 @@
 	Kind   Kind
 	// Shares are the pools that serve the route; their weights are positive.
 	Shares []Share
-	// Timeout is the longest time that a request may be held.
+	// Timeout is the maximum time to hold a request.
 	Timeout time.Duration
-	// Target is the time to the answer, or to the first event of a stream.
+	// Target is the target time to the response, or to the first event of a stream.
 	Target time.Duration
-	// PauseTarget is the longest pause between two events; 0 means none.
+	// PauseTarget is the target for the longest pause between two events; 0 means none.
 	PauseTarget time.Duration
-	// MaxAttempts is the largest number of upstreams that one request is sent to.
+	// MaxAttempts is the maximum number of upstreams that one request is sent to.
 	MaxAttempts int
 	// Tier is the rank of the route; 0 is the highest.
 	Tier int
 	// Public routes need no key.
 	Public bool
-	// Resumable streams may be taken up by another upstream.
+	// Resumable streams may be continued by another upstream.
 	Resumable bool
 	// Prompted requests name a model and the parts of their prompt.
 	Prompted bool
@@ -72,7 +72,7 @@
 	return r.Kind == Repeatable || (r.Kind == Stream && r.Resumable)
 }
 
-// serves reports whether the pool gets requests of the route.
+// serves reports whether the route sends requests to the pool.
 func (r *Route) serves(pool string) bool {
 	for _, s := range r.Shares {
 		if s.Pool == pool && s.Weight > 0 {
@@ -82,8 +82,7 @@
 	return false
 }
 
-// HashID spreads request identities; equal identities get equal hashes on all
-// hosts.
+// HashID returns the hash of a request identity, which is the same on all hosts.
 func HashID(id string) uint64 { return xxhash.Sum64String(id) }
 
 // Pool returns the pool that a request with this hash goes to.
--- a/internal/core/ingress/table.go
+++ b/internal/core/ingress/table.go
@@ -9,11 +9,11 @@
 	"github.com/gladegauge/gladegauge/internal/core/config"
 )
 
-// Organisation is one that sends requests.
+// Organisation is a sender of requests.
 type Organisation struct {
 	Name string
-	// Tier ranks the organisation among others that ask for routes of the same tier; 0 is
-	// the highest.
+	// Tier ranks the organisation among others on routes of the same tier; 0 is the
+	// highest.
 	Tier int
 	Keys []config.Key
 }
@@ -21,43 +21,44 @@
 // Pool is a set of upstreams that serve the same requests.
 type Pool struct {
 	Name string
-	// MaxConnections is what one upstream takes from all callers together.
+	// MaxConnections is the number of connections that one upstream accepts from all
+	// callers together.
 	MaxConnections int
 	// Engine describes the model engines of the pool; nil for plain services.
 	Engine *Engine
 	Cold   Cold
 }
 
-// Cold is what the operator says of a pool's upstreams that have just started, or lost
-// what they had warmed up. The zero value asks for no care.
+// Cold configures the warm-up of a pool's upstreams that have just started or lost their
+// warm state. The zero value means no warm-up.
 type Cold struct {
-	// For is how long one is cold after its start.
+	// For is how long an upstream is cold after its start.
 	For time.Duration
-	// PerSecond is the number of requests that it handles in a second meanwhile; 0
-	// for as many as a warm one.
+	// PerSecond is the number of requests that a cold upstream handles per second; 0 means
+	// as many as a warm one.
 	PerSecond float64
 }
 
-// Engine is what the operator says of a pool's model engines.
+// Engine configures a pool's model engines.
 type Engine struct {
-	// Slots is the number of requests in one batch.
+	// Slots is the maximum number of requests in one batch.
 	Slots int
-	// MemoryTokens is the KV cache of one engine in tokens.
+	// MemoryTokens is the size of the KV cache of one engine in tokens.
 	MemoryTokens int
 	// EventTokens is the number of tokens in one event.
 	EventTokens int
 	// TokenBytes is the size of one token in the KV cache.
 	TokenBytes int
-	// LinkMbps is the bandwidth between two engines, in megabits a second.
+	// LinkMbps is the bandwidth between two engines in megabits per second.
 	LinkMbps float64
-	// Moves tells that engines copy KV cache from one another.
+	// Moves is set if engines copy KV cache from one another.
 	Moves bool
-	// Backups tells that an engine keeps a copy of a run's memory on another
-	// one, from which the run can go on.
+	// Backups is set if an engine keeps a copy of a run's KV cache on another one, from
+	// which the run can resume.
 	Backups bool
 }
 
-// Limits bound what a caller may send and how long it may take.
+// Limits bound the size and duration of a caller's request.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -72,12 +73,12 @@
 	routes        map[string][]*Route
 	pools         map[string]Pool
 	organisations map[config.Key]*Organisation
-	open          bool
-	ranks         ranks
-	leasts        leasts
+	keyless       bool
+	tiers         tiers
+	lowestTiers   lowestTiers
 }
 
-// New returns a table, or all faults of its parts. Version is positive.
+// New returns a table, or all faults found in its parts. Version must be positive.
 func New(version int64, routes []*Route, pools []Pool, organisations []Organisation, limits Limits) (*Table, config.Faults) {
 	t := &Table{
 		Version:       version,
@@ -85,7 +86,7 @@
 		routes:        make(map[string][]*Route),
 		pools:         make(map[string]Pool, len(pools)),
 		organisations: make(map[config.Key]*Organisation),
-		open:          len(organisations) == 0,
+		keyless:       len(organisations) == 0,
 	}
 	var f config.Faults
 	if version <= 0 {
@@ -106,8 +107,8 @@
 	for _, rs := range t.routes {
 		slices.SortFunc(rs, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
-	t.ranks = ranksOf(routes, organisations)
-	t.leasts = leastsOf(routes, organisations)
+	t.tiers = tiersOf(routes, organisations)
+	t.lowestTiers = lowestTiersOf(routes, organisations)
 	return t, nil
 }
 
@@ -155,7 +156,7 @@
 	return f
 }
 
-// Route returns the route with the longest prefix of path on the host.
+// Route returns the route of the host with the longest matching prefix.
 func (t *Table) Route(host, path string) (*Route, bool) {
 	for _, r := range t.routes[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -174,15 +175,15 @@
 	return n
 }
 
-// Pause is what a route of streams promises.
+// Pause is the target of a streaming route for the pause between two events.
 type Pause struct {
 	Target time.Duration
 	// Tier is the rank of the route; 0 is the highest.
 	Tier int
 }
 
-// Pauses returns the pauses of the streams that the pool serves, without repeats,
-// the shortest first.
+// Pauses returns the distinct pauses of the streaming routes that use the pool, the
+// shortest first.
 func (t *Table) Pauses(pool string) []Pause {
 	var pauses []Pause
 	for _, rs := range t.routes {
@@ -199,9 +200,9 @@
 }
 
 // NeedsKey reports whether requests on the route must carry a key.
-func (t *Table) NeedsKey(r *Route) bool { return !t.open && !r.Public }
+func (t *Table) NeedsKey(r *Route) bool { return !t.keyless && !r.Public }
 
-// Organisation returns the one that holds the key.
+// Organisation returns the owner of the key.
 func (t *Table) Organisation(key string) (*Organisation, bool) {
 	o, ok := t.organisations[config.HashKey(key)]
 	return o, ok
--- a/internal/core/ingress/urgency.go
+++ b/internal/core/ingress/urgency.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// ranks are the tiers that the configuration knows, the highest first.
-type ranks struct {
+// tiers are the distinct tiers of the configuration, the highest first.
+type tiers struct {
 	routes        []int
 	organisations []int
 }
 
-func ranksOf(routes []*Route, organisations []Organisation) ranks {
-	var r ranks
+func tiersOf(routes []*Route, organisations []Organisation) tiers {
+	var r tiers
 	for _, route := range routes {
 		r.routes = append(r.routes, route.Tier)
 	}
@@ -26,17 +26,18 @@
 	return slices.Compact(tiers)
 }
 
-// Urgency returns the place of a request among steps classes, 0 for the most urgent. The
-// route's tier goes before the organisation's: no request is preempted, or waits, for a less
-// urgent kind of anybody. The organisation is nil on public routes.
+// Urgency returns the urgency class of a request among steps classes, 0 for the most
+// urgent. The route's tier takes precedence over the organisation's: no request is
+// preempted by, or waits for, a less urgent kind of any organisation. The organisation is
+// nil on public routes.
 func (t *Table) Urgency(o *Organisation, r *Route, steps int) int {
 	tier := 0
 	if o != nil {
 		tier = o.Tier
 	}
-	kind, _ := slices.BinarySearch(t.ranks.routes, r.Tier)
-	organisation, _ := slices.BinarySearch(t.ranks.organisations, tier)
-	kinds, organisations := len(t.ranks.routes), len(t.ranks.organisations)
+	kind, _ := slices.BinarySearch(t.tiers.routes, r.Tier)
+	organisation, _ := slices.BinarySearch(t.tiers.organisations, tier)
+	kinds, organisations := len(t.tiers.routes), len(t.tiers.organisations)
 	if kinds*organisations <= steps {
 		return min(kind*organisations+organisation, steps-1)
 	}
@@ -44,15 +45,15 @@
 	return min(first+organisation*(next-first)/organisations, steps-1)
 }
 
-// leasts are the lowest tiers of the configuration.
-type leasts struct {
+// lowestTiers are the lowest tiers of the configuration.
+type lowestTiers struct {
 	organisation int
 	// routes is the lowest tier of the routes of each pool.
 	routes map[string]int
 }
 
-func leastsOf(routes []*Route, organisations []Organisation) leasts {
-	l := leasts{routes: make(map[string]int)}
+func lowestTiersOf(routes []*Route, organisations []Organisation) lowestTiers {
+	l := lowestTiers{routes: make(map[string]int)}
 	for _, o := range organisations {
 		l.organisation = max(l.organisation, o.Tier)
 	}
@@ -71,5 +72,5 @@
 	if o != nil {
 		organisation = o.Tier
 	}
-	return organisation >= t.leasts.organisation && r.Tier >= t.leasts.routes[pool]
+	return organisation >= t.lowestTiers.organisation && r.Tier >= t.lowestTiers.routes[pool]
 }
--- a/internal/core/ingress/urgency_test.go
+++ b/internal/core/ingress/urgency_test.go
@@ -8,12 +8,13 @@
 	"github.com/matryer/is"
 )
 
-// At an engine whose memory ran out, 14 requests of the most urgent kind were preempted
-// while less urgent ones ran on there. The organisation's tier went before the route's: of
-// 156 "picked" lines for that engine in the 5 s before, 110 were of that kind by
-// organisations of the second tier, with "urgency":3, and 19 of any kind by those of the
-// first one, with 0 and 1. With the route's tier first none were preempted so.
-func TestNoKindBehindALessUrgentOne(t *testing.T) {
+// Guards against preempting the most urgent kind of request while less urgent ones run on.
+// When the organisation's tier took precedence over the route's, 14 requests of the most
+// urgent kind were preempted at an engine that ran out of memory: 110 of its 156 "picked"
+// lines in the 5 s before were of that kind, by organisations of the second tier with
+// "urgency":3, and 19 of any kind, by those of the first tier with 0 and 1. With the
+// route's tier first, none were preempted that way.
+func TestRouteTierBeforeOrganisationTier(t *testing.T) {
 	const steps = 10
 	for _, tiers := range []struct{ routes, organisations int }{{3, 1}, {3, 2}, {3, 3}, {3, 5}, {4, 4}, {10, 2}, {2, 40}} {
 		t.Run(fmt.Sprintf("%d tiers of routes, %d of organisations", tiers.routes, tiers.organisations), func(t *testing.T) {
@@ -36,8 +37,8 @@
 				most := least
 				for i := range organisations {
 					u := table.Urgency(&organisations[i], r, steps)
-					is.True(u > least && u < steps) // the whole kind stands behind the one before
-					is.True(u >= most)              // and in it, the organisations in their order
+					is.True(u > least && u < steps) // all of this kind rank after the previous one
+					is.True(u >= most)              // and within it, in the order of the organisations
 					most = u
 				}
 				least = most
--- a/internal/core/ingress/view.go
+++ b/internal/core/ingress/view.go
@@ -5,16 +5,16 @@
 // View is a table with the proof of its age.
 type View struct {
 	Table *Table
-	// NewestAt is a moment at which the table was known to be the newest one
-	// that was accepted, on the steady clock of this process.
+	// NewestAt is the latest time at which the table was known to be the newest accepted
+	// one, on this process's monotonic clock.
 	NewestAt time.Time
 }
 
-// Age is how long ago the table was known to be the newest.
+// Age is the time since the table was known to be the newest.
 func (v View) Age(now time.Time) time.Duration { return now.Sub(v.NewestAt) }
 
-// WithProof returns a view that was also the newest at the given moment. An
-// earlier moment proves nothing new.
+// WithProof returns a view that was also the newest at the given time. An earlier time has
+// no effect.
 func (v View) WithProof(at time.Time) View {
 	if at.After(v.NewestAt) {
 		v.NewestAt = at
@@ -22,8 +22,8 @@
 	return v
 }
 
-// WithTable returns a view of a table that was the newest at the given moment.
-// A table that is not newer than the one in force is not taken.
+// WithTable returns a view of a table that was the newest at the given time. A table that
+// is not newer than the current one is rejected.
 func (v View) WithTable(t *Table, at time.Time) (View, bool) {
 	if v.Table != nil && t.Version <= v.Table.Version {
 		return v, false
--- a/internal/core/route/health.go
+++ b/internal/core/route/health.go
@@ -8,32 +8,32 @@
 
 // Bounds of ejection.
 const (
-	// ejectAfter is the number of failures in a row that eject an agent.
+	// ejectAfter is the number of consecutive failures that eject an agent.
 	ejectAfter = 2
 	ejectBase  = time.Second
 	ejectMax   = 30 * time.Second
-	// maxEjectedShare is the part of the subset that may be ejected at once.
+	// maxEjectedShare is the maximum share of the subset that is ejected at once.
 	maxEjectedShare = 0.5
 )
 
 // health counts an agent's failures.
 type health struct {
-	failures int
-	ejected  int
-	until    time.Time
+	failures     int
+	ejections    int
+	ejectedUntil time.Time
 }
 
-// leavingLease is how long an agent's word that it is leaving is believed;
-// another process may have taken its place since.
+// leavingLease is how long an agent's report that it is leaving is used; another process
+// may have taken its place since.
 const leavingLease = 10 * time.Second
 
-func (u *upstream) leavingAt(now time.Time) bool {
+func (u *upstream) isLeaving(now time.Time) bool {
 	return u.load.Leaving && now.Sub(u.loadAt) < leavingLease
 }
 
-func (h *health) ejectedAt(now time.Time) bool { return now.Before(h.until) }
+func (h *health) isEjected(now time.Time) bool { return now.Before(h.ejectedUntil) }
 
-// Answered takes the load that rode on an answer or a refusal.
+// Answered records the load reported with a response or a refusal.
 func (t *Table) Answered(now time.Time, id string, l agent.Load) {
 	u, ok := t.hosts[id]
 	if !ok {
@@ -44,23 +44,23 @@
 	u.loadAt = now
 }
 
-// Settled tells that an offer has its answer, of whatever kind.
+// Settled records that an offer was answered in any way.
 func (t *Table) Settled(id string) {
 	if u, ok := t.hosts[id]; ok && u.pending > 0 {
 		u.pending--
 	}
 }
 
-// Succeeded tells that the agent's upstream completed an answer.
+// Succeeded records that the agent's upstream completed a response.
 func (t *Table) Succeeded(id string) {
 	if u, ok := t.hosts[id]; ok {
 		u.health = health{}
 	}
 }
 
-// Failed tells that the agent could not be reached or its upstream broke off.
-// After some failures in a row the agent is ejected for a time that doubles,
-// unless too many of its pool are ejected already.
+// Failed records that the agent could not be reached or that its upstream broke off. After
+// several consecutive failures the agent is ejected for a time that doubles, unless too
+// many of its pool are ejected already.
 func (t *Table) Failed(now time.Time, id string) {
 	u, ok := t.hosts[id]
 	if !ok || t.options.NoEjection {
@@ -68,15 +68,15 @@
 	}
 	u.health.failures++
 	u.known = false
-	if u.health.failures < ejectAfter || u.health.ejectedAt(now) {
+	if u.health.failures < ejectAfter || u.health.isEjected(now) {
 		return
 	}
 	if !t.mayEject(now, u) {
 		return
 	}
-	d := min(ejectBase<<min(u.health.ejected, 5), ejectMax)
-	u.health.ejected++
-	u.health.until = now.Add(d)
+	d := min(ejectBase<<min(u.health.ejections, 5), ejectMax)
+	u.health.ejections++
+	u.health.ejectedUntil = now.Add(d)
 }
 
 func (t *Table) mayEject(now time.Time, u *upstream) bool {
@@ -86,7 +86,7 @@
 	}
 	ejected := 0
 	for _, other := range p.members {
-		if other.health.ejectedAt(now) {
+		if other.health.isEjected(now) {
 			ejected++
 		}
 	}
@@ -115,8 +115,8 @@
 		states = append(states, State{
 			ID:      u.host.ID,
 			Pool:    poolName,
-			Ejected: u.health.ejectedAt(now),
-			Leaving: u.leavingAt(now),
+			Ejected: u.health.isEjected(now),
+			Leaving: u.isLeaving(now),
 			Known:   u.known,
 			Wait:    u.wait(now, tier),
 			Pending: u.pending,
--- a/internal/core/route/pick.go
+++ b/internal/core/route/pick.go
@@ -9,18 +9,18 @@
 	"github.com/gladegauge/gladegauge/internal/core/rendezvous"
 )
 
-// Request is what a pick needs to know of a request.
+// Request holds the properties of a request that a pick depends on.
 type Request struct {
 	Pool string
 	Tier int
 	// Prefix is the hash of the prompt's prefix; 0 for none.
 	Prefix uint64
-	// Exclude holds the agents that were tried already.
+	// Exclude lists the agents that were tried already.
 	Exclude []string
 }
 
-// Pick returns up to n agents, the best first. It is empty if the pool has no
-// agent left to try.
+// Pick returns up to n agents, the best first, or none if no agent of the pool is left to
+// try.
 func (t *Table) Pick(now time.Time, r Request, n int) []member.Host {
 	p, ok := t.pools[r.Pool]
 	if !ok {
@@ -42,12 +42,12 @@
 	return picks
 }
 
-// sample draws agents that may be used, starting at a random place with a
-// random step, and the prefix's home among them.
+// sample returns usable agents, drawn from a random offset with a random step, including
+// the owner of the prefix.
 func (t *Table) sample(now time.Time, p *pool, r Request, n int) []*upstream {
 	sample := t.scratch[:0]
-	if home := t.home(p, r); home != nil && usable(now, home, r) {
-		sample = append(sample, home)
+	if owner := t.owner(p, r); owner != nil && usable(now, owner, r) {
+		sample = append(sample, owner)
 	}
 	size := len(p.members)
 	if size == 0 {
@@ -65,7 +65,7 @@
 	return sample
 }
 
-// coprimeStep returns a step that visits all places of a ring of the size.
+// coprimeStep returns a step that visits all positions of a ring of the size.
 func coprimeStep(step, size int) int {
 	for step = max(1, step); gcd(step, size) != 1; {
 		step++
@@ -81,13 +81,13 @@
 }
 
 func usable(now time.Time, u *upstream, r Request) bool {
-	return !u.leavingAt(now) &&
-		!u.health.ejectedAt(now) &&
+	return !u.isLeaving(now) &&
+		!u.health.isEjected(now) &&
 		!slices.Contains(r.Exclude, u.host.ID)
 }
 
-// home returns the agent that the prompt's prefix belongs to.
-func (t *Table) home(p *pool, r Request) *upstream {
+// owner returns the agent that the prompt's prefix is mapped to.
+func (t *Table) owner(p *pool, r Request) *upstream {
 	if r.Prefix == 0 || t.options.NoPrefix || t.options.Random {
 		return nil
 	}
@@ -101,15 +101,15 @@
 	return best
 }
 
-// best returns the place of the agent with the least cost.
+// best returns the index of the agent with the least cost.
 func (t *Table) best(now time.Time, sample []*upstream, r Request) int {
-	home := t.home(t.pools[r.Pool], r)
+	owner := t.owner(t.pools[r.Pool], r)
 	best := 0
 	var bestCost time.Duration
 	for i, u := range sample {
 		cost := t.cost(now, u, r.Tier)
-		if u == home {
-			cost -= prefixGain
+		if u == owner {
+			cost -= prefixBonus
 		}
 		if i == 0 || cost < bestCost {
 			best, bestCost = i, cost
@@ -127,11 +127,11 @@
 	return cost + u.wait(now, tier)
 }
 
-// wait is the agent's own word, trusted less as it ages.
+// wait is the wait reported by the agent, blended into the default as the report ages.
 func (u *upstream) wait(now time.Time, tier int) time.Duration {
 	age := now.Sub(u.loadAt)
 	if !u.known || age >= staleAfter {
-		return unknownWait
+		return defaultWait
 	}
 	tier = min(max(tier, 1), config.Tiers)
 	wait := u.load.Wait[tier-1]
@@ -139,5 +139,5 @@
 		wait = time.Millisecond
 	}
 	trust := 1 - float64(age)/float64(staleAfter)
-	return time.Duration(trust*float64(wait) + (1-trust)*float64(unknownWait))
+	return time.Duration(trust*float64(wait) + (1-trust)*float64(defaultWait))
 }
--- a/internal/core/route/route_test.go
+++ b/internal/core/route/route_test.go
@@ -63,9 +63,9 @@
 	is.Equal(len(picks), 0)
 }
 
-// TestStaleLoadIsForgotten lets an agent's word age: after a while an agent
-// with a long wait is tried again.
-func TestStaleLoadIsForgotten(t *testing.T) {
+// TestStaleLoadExpires checks that a load report expires: after a while an agent with a
+// long wait is tried again.
+func TestStaleLoadExpires(t *testing.T) {
 	is := is.New(t)
 	tab := newTable(hosts(2, 1), Options{})
 	tab.Answered(t0, "agent-0", load(time.Minute))
@@ -101,8 +101,8 @@
 	is.Equal(len(tab.Pick(t0.Add(2*ejectBase), Request{Pool: "pool-0", Tier: 1}, 4)), 4)
 }
 
-// TestLeaving believes an agent at once that it leaves, and the list that it
-// stays only after the lease.
+// TestLeaving checks that an agent's report that it is leaving applies at once, and that
+// the membership list overrides it only after the lease.
 func TestLeaving(t *testing.T) {
 	is := is.New(t)
 	tab := newTable(hosts(2, 1), Options{})
@@ -113,8 +113,8 @@
 	is.Equal(len(tab.Pick(t0.Add(leavingLease), Request{Pool: "pool-0", Tier: 1}, 2)), 2)
 }
 
-// TestSubset takes the own zone first and some of the others, and changes
-// little when a host goes.
+// TestSubset checks that the subset prefers the entry's own zone, includes some of the
+// others, and changes little when a host leaves.
 func TestSubset(t *testing.T) {
 	is := is.New(t)
 	tab := newTable(hosts(300, 1), Options{})
@@ -139,19 +139,19 @@
 	is.True(changed <= 1)
 }
 
-// TestPrefixAffinity sends one prefix to one agent while it has room, and
-// elsewhere when it has not.
+// TestPrefixAffinity checks that requests with one prefix go to one agent while it has
+// capacity, and elsewhere otherwise.
 func TestPrefixAffinity(t *testing.T) {
 	is := is.New(t)
 	tab := newTable(hosts(8, 1), Options{})
 	r := Request{Pool: "pool-0", Tier: 1, Prefix: 77}
-	home := tab.Pick(t0, r, 1)[0].ID
+	owner := tab.Pick(t0, r, 1)[0].ID
 	for range 10 {
-		tab.Settled(home)
-		is.Equal(tab.Pick(t0, r, 1)[0].ID, home)
+		tab.Settled(owner)
+		is.Equal(tab.Pick(t0, r, 1)[0].ID, owner)
 	}
-	tab.Answered(t0, home, load(10*time.Second))
-	is.True(tab.Pick(t0, r, 1)[0].ID != home)
+	tab.Answered(t0, owner, load(10*time.Second))
+	is.True(tab.Pick(t0, r, 1)[0].ID != owner)
 }
 
 func BenchmarkPick(b *testing.B) {
--- a/internal/core/route/table.go
+++ b/internal/core/route/table.go
@@ -19,17 +19,17 @@
 	DefaultSubset = 16
 	// DefaultSample is the number of agents that one pick compares.
 	DefaultSample = 4
-	// staleAfter is the age at which a load says nothing any more.
+	// staleAfter is the age at which a load report expires.
 	staleAfter = 2 * time.Second
-	// unknownWait is what an agent without a load is taken to have.
-	unknownWait = 50 * time.Millisecond
-	// zoneCost is the handicap of an agent in another availability zone.
+	// defaultWait is the assumed wait of an agent without a load report.
+	defaultWait = 50 * time.Millisecond
+	// zoneCost is the penalty of an agent in another availability zone.
 	zoneCost = 2 * time.Millisecond
-	// prefixGain is the head start of an agent that may hold the prefix.
-	prefixGain = 150 * time.Millisecond
-	// pendingCost is the wait that an offer without an answer stands for.
+	// prefixBonus is the advantage of the agent that may hold the prefix.
+	prefixBonus = 150 * time.Millisecond
+	// pendingCost is the expected wait per unanswered offer.
 	pendingCost = 20 * time.Millisecond
-	// ownZoneShare is the part of the subset for the entry's own zone.
+	// ownZoneShare is the part of the subset in the entry's own zone.
 	ownZoneShare = 2.0 / 3
 )
 
@@ -39,15 +39,15 @@
 	Zone   string
 	Subset int
 	Sample int
-	// Random picks without regard to load; the baseline.
+	// Random ignores the load, as a baseline for comparison.
 	Random bool
-	// NoPrefix ignores prompt prefixes; for comparison.
+	// NoPrefix ignores prompt prefixes, for comparison.
 	NoPrefix bool
-	// NoEjection keeps agents that fail; for comparison.
+	// NoEjection keeps failing agents, for comparison.
 	NoEjection bool
 }
 
-// upstream is what the table knows of one agent.
+// upstream is the table's state of one agent.
 type upstream struct {
 	host    member.Host
 	hash    uint64
@@ -90,8 +90,8 @@
 	}
 }
 
-// SetMembers takes a new list of hosts. What is known of agents that stay is
-// kept; an agent whose address changed is a new one.
+// SetMembers replaces the list of hosts. The state of agents that stay is kept; an agent
+// whose address changed counts as a new one.
 func (t *Table) SetMembers(set *member.Set) {
 	t.set = set
 	seen := make(map[string]bool)
@@ -102,12 +102,12 @@
 		}
 		seen[h.ID] = true
 		names[h.Pool] = true
-		held, ok := t.hosts[h.ID]
-		if !ok || held.host.Address != h.Address {
+		existing, ok := t.hosts[h.ID]
+		if !ok || existing.host.Address != h.Address {
 			t.hosts[h.ID] = &upstream{host: h, hash: xxhash.Sum64String(h.ID)}
 			continue
 		}
-		held.host = h
+		existing.host = h
 	}
 	for id := range t.hosts {
 		if !seen[id] {
@@ -120,9 +120,9 @@
 	}
 }
 
-// subset chooses the agents of a pool that this entry uses: its own
-// availability zone first, and some of the others so that a zone's end does
-// not leave it without any.
+// subset selects the agents of a pool that this entry uses: those of its own availability
+// zone first, and some of the others, so that an outage of one zone does not leave the
+// entry without agents.
 func (t *Table) subset(name string) []*upstream {
 	var own, others []string
 	for _, h := range t.set.Agents(name) {
@@ -135,9 +135,9 @@
 		}
 	}
 	key := t.options.Entry + "/" + name
-	fromOwn := int(ownZoneShare * float64(t.options.Subset))
-	fromOwn = max(fromOwn, t.options.Subset-len(others))
-	ids := rendezvous.Top(key, own, fromOwn)
+	ownCount := int(ownZoneShare * float64(t.options.Subset))
+	ownCount = max(ownCount, t.options.Subset-len(others))
+	ids := rendezvous.Top(key, own, ownCount)
 	ids = append(ids, rendezvous.Top(key, others, t.options.Subset-len(ids))...)
 	members := make([]*upstream, 0, len(ids))
 	for _, id := range ids {
@@ -155,7 +155,7 @@
 	return 0
 }
 
-// Host returns an agent by identity.
+// Host returns an agent by ID.
 func (t *Table) Host(id string) (member.Host, bool) {
 	u, ok := t.hosts[id]
 	if !ok {
