--- a/internal/core/gateway/admit.go
+++ b/internal/core/gateway/admit.go
@@ -12,7 +12,7 @@
 	Host string
 	Path string
 	Key  string
-	// Patience is how long the caller waits; 0 if it did not say.
+	// Patience is how long the caller waits; 0 if unspecified.
 	Patience time.Duration
 }
 
--- a/internal/core/retry/window.go
+++ b/internal/core/retry/window.go
@@ -17,7 +17,7 @@
 	share   float64
 	reserve float64
 	span    time.Duration
-	// buckets are indexed by their time since the Unix epoch.
+	// buckets are indexed by their number since the Unix epoch.
 	buckets map[int64]*windowBucket
 }
 
