--- a/internal/core/balance/comeback.go
+++ b/internal/core/balance/comeback.go
@@ -48,7 +48,7 @@
 	if isLimited {
 		spread = max(spread, t.turnBacklog(now, p))
 	}
-	return after + time.Duration(float64(spread)*rendezvous.Part(hash)), isLimited
+	return after + time.Duration(float64(spread)*rendezvous.Fraction(hash)), isLimited
 }
 
 // turnBacklog is the time over which callers come back that found no turn: until all gateways
--- a/internal/core/balance/gone.go
+++ b/internal/core/balance/gone.go
@@ -59,7 +59,7 @@
 
 // toldAway reports whether others go before the upstream by the word of other gateways.
 func (u *upstream) toldAway(now time.Time) bool {
-	return u.toldGone(now) || u.toldClosed(now) || u.health.PutLast(now)
+	return u.toldGone(now) || u.toldClosed(now) || u.health.Demoted(now)
 }
 
 // believesAway reports whether the words of others on upstreams that are gone or closed,
--- a/internal/core/balance/health.go
+++ b/internal/core/balance/health.go
@@ -31,7 +31,7 @@
 	next, d := u.health.WithRefusal(now, said.full() || p.rightly(now, u, r))
 	u.health = next
 	if p.mayEject(now) {
-		u.health = u.health.WithLeftOut(now, d)
+		u.health = u.health.WithExclusion(now, d)
 	}
 }
 
@@ -63,7 +63,7 @@
 }
 
 // ejected reports whether the upstream is left out for what this gateway saw there.
-func (u *upstream) ejected(now time.Time) bool { return u.health.LeftOut(now) > 0 }
+func (u *upstream) ejected(now time.Time) bool { return u.health.ExcludedFor(now) > 0 }
 
 // judge ejects the upstream if it fails more often than its pool.
 func (t *Table) judge(now time.Time, u *upstream) {
--- a/internal/core/balance/limited.go
+++ b/internal/core/balance/limited.go
@@ -56,7 +56,7 @@
 
 // split is how a limit is shared out.
 func (b LimitBounds) split(perSecond float64) quota.Split {
-	policy := quota.Policy{Used: limitUsed, Views: limitViews, Holders: limitHoldersMost}
+	policy := quota.Policy{Utilisation: limitUsed, Views: limitViews, Holders: limitHoldersMost}
 	return policy.Divide(quota.Bound{
 		Rate:   max(perSecond, leastLimit),
 		Most:   b.Overrun*b.Window.Seconds()*perSecond + b.Slack,
@@ -105,7 +105,7 @@
 // reshare works out this gateway's part anew: the limit or the fleet may have changed.
 func (t *Table) reshare(now time.Time, l *limited) {
 	if share := l.split.Share(t.sharers()); share != l.share {
-		l.bucket, l.share = l.bucket.Under(now, l.share, share), share
+		l.bucket, l.share = l.bucket.WithShare(now, l.share, share), share
 	}
 }
 
@@ -145,7 +145,7 @@
 	if !l.Named {
 		return false
 	}
-	l.bucket = l.bucket.Spent(now, l.share)
+	l.bucket = l.bucket.Take(now, l.share)
 	l.turns++
 	return true
 }
--- a/internal/core/balance/limited_test.go
+++ b/internal/core/balance/limited_test.go
@@ -210,7 +210,7 @@
 	is.True(after > time.Second && after < 1200*time.Millisecond)
 	latest := func(ms int) time.Duration {
 		most := time.Duration(0)
-		for i := range uint64(rendezvous.Steps) {
+		for i := range uint64(rendezvous.FractionSteps) {
 			after, _ := table.ComeBack(at(ms), "p", i)
 			most = max(most, after)
 		}
@@ -236,7 +236,7 @@
 		table.Notice(at(100), u.Instance, notice.Notice{SentAt: at(50)})
 	}
 	is.True(table.pools["p"].mayEject(at(200))) // one of the two without a limit
-	members[0].health = members[0].health.WithLeftOut(at(200), time.Minute)
+	members[0].health = members[0].health.WithExclusion(at(200), time.Minute)
 	is.True(!table.pools["p"].mayEject(at(200)))
 	is.Equal(backupFor(at(200), members[0], members[2:], Request{}), Backup{})
 	is.Equal(backupFor(at(200), members[0], members[1:], Request{}).ID, members[1].ID)
--- a/internal/core/balance/outcome.go
+++ b/internal/core/balance/outcome.go
@@ -55,7 +55,7 @@
 	}
 	u.said = u.said.WithAnswer(now)
 	r.begun, r.begunAt = true, now
-	u.health = u.health.WithBegun(now)
+	u.health = u.health.WithResponseStart(now)
 	r.unread = 0
 	if r.least {
 		t.pool(u.Pool).queue.Began(now, now.Sub(r.sentAt))
@@ -129,7 +129,7 @@
 		if !r.begun {
 			r.begunAt = now // It was over at once.
 		}
-		u.health = u.health.WithAnswer(r.begunAt)
+		u.health = u.health.WithResponse(r.begunAt)
 		u.pace.learn(now, now.Sub(r.sentAt))
 		if t.pool(u.Pool).pauses.isTight(r.pause) {
 			u.pausing.learn(now, milliseconds(a.LongestGap), pauseWeight)
@@ -158,7 +158,7 @@
 		p := t.pools[u.Pool]
 		u.warmup = u.warmup.With(now.Add(p.cold.For))
 		if p.mayEject(now) {
-			u.health = u.health.WithLeftOut(now, unreachableFor)
+			u.health = u.health.WithExclusion(now, unreachableFor)
 		}
 	case Abandoned:
 		t.pool(u.Pool).noteIfHanging(now, u, r)
--- a/internal/core/balance/refused_test.go
+++ b/internal/core/balance/refused_test.go
@@ -28,16 +28,16 @@
 		votes bool
 		out   time.Duration
 	}{
-		{"as it says itself that it is full", Refused, 0, 10, time.Millisecond, time.Second, 3, &Load{Running: 8, Slots: 8}, false, health.FullFor},
-		{"as it says that requests wait", Refused, 0, 10, time.Millisecond, time.Second, 3, &Load{Running: 2, Waiting: 1, Slots: 8}, false, health.FullFor},
+		{"as it says itself that it is full", Refused, 0, 10, time.Millisecond, time.Second, 3, &Load{Running: 8, Slots: 8}, false, health.FullBackoff},
+		{"as it says that requests wait", Refused, 0, 10, time.Millisecond, time.Second, 3, &Load{Running: 2, Waiting: 1, Slots: 8}, false, health.FullBackoff},
 		{"though it says that it has room", Refused, 0, 10, time.Millisecond, time.Second, 1, &Load{Running: 2, Slots: 8}, true, 100 * time.Millisecond},
 		{"at once", Refused, 0, 10, time.Millisecond, time.Second, 1, nil, true, 100 * time.Millisecond},
 		{"three times", Refused, 0, 10, time.Millisecond, time.Second, 3, nil, true, 400 * time.Millisecond},
 		{"ten times", Refused, 0, 10, time.Millisecond, time.Second, 10, nil, true, 3200 * time.Millisecond},
-		{"as it was full", Refused, 8, 10, time.Millisecond, time.Second, 1, nil, false, health.FullFor},
-		{"as the request is too large", Refused, 0, 95_000, time.Millisecond, time.Second, 1, nil, false, health.FullFor},
-		{"after a wait in its queue", Refused, 0, 10, 400 * time.Millisecond, time.Second, 1, nil, false, health.FullFor},
-		{"with no time left", Refused, 0, 10, time.Millisecond, 20 * time.Millisecond, 1, nil, false, health.FullFor},
+		{"as it was full", Refused, 8, 10, time.Millisecond, time.Second, 1, nil, false, health.FullBackoff},
+		{"as the request is too large", Refused, 0, 95_000, time.Millisecond, time.Second, 1, nil, false, health.FullBackoff},
+		{"after a wait in its queue", Refused, 0, 10, 400 * time.Millisecond, time.Second, 1, nil, false, health.FullBackoff},
+		{"with no time left", Refused, 0, 10, time.Millisecond, 20 * time.Millisecond, 1, nil, false, health.FullBackoff},
 		{"for the request's own fault", Declined, 0, 10, time.Millisecond, time.Second, 1, nil, false, 0},
 	}
 	for _, tt := range tests {
@@ -60,7 +60,7 @@
 				now = now.Add(tt.took)
 				table.Ended(now, c, tt.o, Answer{Load: tt.load})
 			}
-			is.Equal(u.health.LeftOut(now), tt.out)
+			is.Equal(u.health.ExcludedFor(now), tt.out)
 			is.Equal(table.Loads(now)[u.start].Failing == 1, tt.votes)
 		})
 	}
--- a/internal/core/balance/said_test.go
+++ b/internal/core/balance/said_test.go
@@ -121,7 +121,7 @@
 	}
 	is.Equal(table.Size("p"), 2)
 	is.True(table.pools["p"].mayEject(at(1)))
-	members[2].health = members[2].health.WithLeftOut(at(1), time.Minute)
+	members[2].health = members[2].health.WithExclusion(at(1), time.Minute)
 	is.True(!table.pools["p"].mayEject(at(1))) // one of the two that are left
 	left, _ := table.ComeBack(at(1), "p", 0)
 	is.Equal(left, time.Duration(0))
@@ -148,7 +148,7 @@
 	_, ok := table.Pick(at(500), plainRequest(1))
 	is.True(!ok)
 	earliest, latest := time.Hour, time.Duration(0)
-	for i := range uint64(rendezvous.Steps) {
+	for i := range uint64(rendezvous.FractionSteps) {
 		left, _ := table.ComeBack(at(500), "p", i)
 		earliest, latest = min(earliest, left), max(latest, left)
 	}
--- a/internal/core/balance/votes.go
+++ b/internal/core/balance/votes.go
@@ -27,10 +27,10 @@
 // urgent, while there are some, and one at a time; where the votes were against it, of a
 // few gateways.
 func (t *Table) mayTry(now time.Time, u *upstream, r Request) bool {
-	if u.unanswered() > 0 || (!r.Least && !u.health.Untried(now)) {
+	if u.unanswered() > 0 || (!r.Least && !u.health.TrialOverdue(now)) {
 		return false
 	}
-	return !u.health.TrialOfFew(now) || t.holds(now, u.hash, trialGateways)
+	return !u.health.InLimitedTrial(now) || t.holds(now, u.hash, trialGateways)
 }
 
 // countVotes takes the votes of all gateways on the upstream, and reports whether they put it
--- a/internal/core/gateway/doc.go
+++ b/internal/core/gateway/doc.go
@@ -13,7 +13,7 @@
 //	a, refusal := gateway.Admit(now, view, call, bounds)
 //	…
 //	switch step := gateway.Next(now, a, progress, failure, spend); step.Do {
-//	case gateway.Again: // pick another upstream
+//	case gateway.Retry: // pick another upstream
 //	case gateway.Relay: // pass the upstream's own error on
 //	case gateway.Refuse: // answer with step.Refusal
 //	}
--- a/internal/core/gateway/gateway_test.go
+++ b/internal/core/gateway/gateway_test.go
@@ -59,7 +59,7 @@
 			is.Equal(refusal.Kind, tt.kind)
 			is.Equal(refusal.Reason, tt.reason)
 			is.True(refusal.NotRun)
-			is.Equal(refusal.ComeBack > 0, tt.kind == Unavailable)
+			is.Equal(refusal.RetryAfter > 0, tt.kind == Unavailable)
 		})
 	}
 	is := is.New(t)
@@ -85,14 +85,14 @@
 		refusal  Kind
 		notRun   bool
 	}{
-		{name: "once, unreachable", kind: ingress.Once, failures: []Failure{Unsent}, do: Again},
-		{name: "once, unreachable costs no budget", kind: ingress.Once, failures: []Failure{Unsent}, noBudget: true, do: Again},
+		{name: "once, unreachable", kind: ingress.Once, failures: []Failure{Unsent}, do: Retry},
+		{name: "once, unreachable costs no budget", kind: ingress.Once, failures: []Failure{Unsent}, noBudget: true, do: Retry},
 		{name: "once, four unreachable", kind: ingress.Once, failures: []Failure{Unsent, Unsent, Unsent, Unsent}, do: Refuse, refusal: Unavailable, notRun: true},
-		{name: "once, refused", kind: ingress.Once, failures: []Failure{NotRun}, do: Again},
+		{name: "once, refused", kind: ingress.Once, failures: []Failure{NotRun}, do: Retry},
 		{name: "once, refused, no budget", kind: ingress.Once, failures: []Failure{NotRun}, noBudget: true, do: Refuse, refusal: Unavailable, notRun: true},
-		{name: "once, replaced", kind: ingress.Once, failures: []Failure{Replaced}, do: Again},
+		{name: "once, replaced", kind: ingress.Once, failures: []Failure{Replaced}, do: Retry},
 		{name: "once, replaced, no budget", kind: ingress.Once, failures: []Failure{Replaced}, noBudget: true, do: Refuse, refusal: Unavailable, notRun: true},
-		{name: "once, replaced twice and refused", kind: ingress.Once, failures: []Failure{Replaced, Replaced, NotRun}, do: Again},
+		{name: "once, replaced twice and refused", kind: ingress.Once, failures: []Failure{Replaced, Replaced, NotRun}, do: Retry},
 		{name: "once, replaced four times", kind: ingress.Once, failures: []Failure{Replaced, Replaced, Replaced, Replaced}, do: Refuse, refusal: Unavailable, notRun: true},
 		{name: "once, lost and then replaced", kind: ingress.Once, failures: []Failure{Lost, Replaced}, do: Refuse, refusal: Unknown},
 		{name: "once, refused twice", kind: ingress.Once, failures: []Failure{NotRun, NotRun}, do: Refuse, refusal: Unavailable, notRun: true},
@@ -102,35 +102,35 @@
 		{name: "once, faulty", kind: ingress.Once, failures: []Failure{Faulty}, do: Relay},
 		{name: "once, refused and then lost", kind: ingress.Once, failures: []Failure{NotRun, Lost}, do: Refuse, refusal: Unknown},
 		{name: "once, lost at the deadline", kind: ingress.Once, failures: []Failure{Lost}, now: t0.Add(time.Second), do: Refuse, refusal: TimedOut},
-		{name: "repeatable, lost", kind: ingress.Repeatable, failures: []Failure{Lost}, do: Again},
+		{name: "repeatable, lost", kind: ingress.Repeatable, failures: []Failure{Lost}, do: Retry},
 		{name: "repeatable, lost, no budget", kind: ingress.Repeatable, failures: []Failure{Lost}, noBudget: true, do: Refuse, refusal: Unknown},
 		{name: "repeatable, lost and refused", kind: ingress.Repeatable, failures: []Failure{Lost, NotRun}, do: Refuse, refusal: Unknown},
 		{name: "repeatable, faulty twice", kind: ingress.Repeatable, failures: []Failure{Faulty, Faulty}, do: Relay},
 		{name: "repeatable, no time left", kind: ingress.Repeatable, failures: []Failure{Lost}, now: t0.Add(999 * time.Millisecond), do: Refuse, refusal: Unknown},
 		{name: "stream, lost", kind: ingress.Stream, failures: []Failure{Lost}, do: Refuse, refusal: Unknown},
-		{name: "stream, lost in the middle", kind: ingress.Stream, failures: []Failure{Lost}, answered: true, do: Cut},
-		{name: "resumable, lost in the middle", kind: ingress.Stream, resume: true, failures: []Failure{Lost}, answered: true, do: Again},
-		{name: "resumable, lost twice", kind: ingress.Stream, resume: true, failures: []Failure{Lost, Lost}, answered: true, do: Cut},
+		{name: "stream, lost in the middle", kind: ingress.Stream, failures: []Failure{Lost}, answered: true, do: Abort},
+		{name: "resumable, lost in the middle", kind: ingress.Stream, resume: true, failures: []Failure{Lost}, answered: true, do: Retry},
+		{name: "resumable, lost twice", kind: ingress.Stream, resume: true, failures: []Failure{Lost, Lost}, answered: true, do: Abort},
 		{name: "backed, lost in the middle", kind: ingress.Stream, failures: []Failure{Lost}, answered: true, backed: true, do: Continue},
 		{name: "backed, timed out in the middle", kind: ingress.Stream, failures: []Failure{Silent}, answered: true, backed: true, do: Continue},
-		{name: "backed, lost in the middle, no budget", kind: ingress.Stream, failures: []Failure{Lost}, answered: true, backed: true, noBudget: true, do: Cut},
+		{name: "backed, lost in the middle, no budget", kind: ingress.Stream, failures: []Failure{Lost}, answered: true, backed: true, noBudget: true, do: Abort},
 		{name: "backed, lost before its first event", kind: ingress.Stream, failures: []Failure{Lost}, backed: true, do: Refuse, refusal: Unknown},
-		{name: "backed, its copy was refused", kind: ingress.Stream, failures: []Failure{Lost, NotRun}, answered: true, do: Cut},
-		{name: "backed, its copy's engine is unreachable", kind: ingress.Stream, failures: []Failure{Lost, Unsent}, answered: true, do: Cut},
-		{name: "backed, its copy's engine was replaced", kind: ingress.Stream, failures: []Failure{Lost, Replaced}, answered: true, do: Cut},
-		{name: "backed, no time left", kind: ingress.Stream, failures: []Failure{Lost}, answered: true, backed: true, now: t0.Add(999 * time.Millisecond), do: Cut},
+		{name: "backed, its copy was refused", kind: ingress.Stream, failures: []Failure{Lost, NotRun}, answered: true, do: Abort},
+		{name: "backed, its copy's engine is unreachable", kind: ingress.Stream, failures: []Failure{Lost, Unsent}, answered: true, do: Abort},
+		{name: "backed, its copy's engine was replaced", kind: ingress.Stream, failures: []Failure{Lost, Replaced}, answered: true, do: Abort},
+		{name: "backed, no time left", kind: ingress.Stream, failures: []Failure{Lost}, answered: true, backed: true, now: t0.Add(999 * time.Millisecond), do: Abort},
 		{name: "suspect, lost", kind: ingress.Repeatable, suspect: true, failures: []Failure{Lost}, do: Refuse, refusal: Unknown},
-		{name: "suspect, lost in the middle", kind: ingress.Stream, resume: true, suspect: true, failures: []Failure{Lost}, answered: true, do: Cut},
-		{name: "suspect with a copy, lost in the middle", kind: ingress.Stream, suspect: true, failures: []Failure{Lost}, answered: true, backed: true, do: Cut},
-		{name: "suspect, unreachable", kind: ingress.Repeatable, suspect: true, failures: []Failure{Unsent}, do: Again},
-		{name: "suspect, refused", kind: ingress.Stream, suspect: true, failures: []Failure{NotRun}, do: Again},
-		{name: "the caller left", kind: ingress.Repeatable, failures: []Failure{CallerGone}, do: Cut},
+		{name: "suspect, lost in the middle", kind: ingress.Stream, resume: true, suspect: true, failures: []Failure{Lost}, answered: true, do: Abort},
+		{name: "suspect with a copy, lost in the middle", kind: ingress.Stream, suspect: true, failures: []Failure{Lost}, answered: true, backed: true, do: Abort},
+		{name: "suspect, unreachable", kind: ingress.Repeatable, suspect: true, failures: []Failure{Unsent}, do: Retry},
+		{name: "suspect, refused", kind: ingress.Stream, suspect: true, failures: []Failure{NotRun}, do: Retry},
+		{name: "the caller left", kind: ingress.Repeatable, failures: []Failure{CallerGone}, do: Abort},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			a := Admission{Deadline: t0.Add(time.Second), Route: &ingress.Route{Kind: tt.kind, Resumable: tt.resume, MaxAttempts: 2}}
-			p := Progress{Replayable: !tt.bodyGone, Answering: tt.answered, Backed: tt.backed, Suspect: tt.suspect}
+			p := Progress{Replayable: !tt.bodyGone, ResponseStarted: tt.answered, HasBackup: tt.backed, Suspect: tt.suspect}
 			for _, f := range tt.failures {
 				p = p.With(f)
 			}
@@ -143,7 +143,7 @@
 			if tt.do == Refuse {
 				is.Equal(step.Refusal.Kind, tt.refusal)
 				is.Equal(step.Refusal.NotRun, tt.notRun)
-				is.Equal(step.Refusal.ComeBack > 0, tt.notRun)
+				is.Equal(step.Refusal.RetryAfter > 0, tt.notRun)
 			}
 		})
 	}
@@ -152,7 +152,7 @@
 func TestNoUpstreamLeft(t *testing.T) {
 	is := is.New(t)
 	a := Admission{Deadline: t0.Add(time.Second), Route: &ingress.Route{Kind: ingress.Repeatable, MaxAttempts: 2}}
-	is.Equal(NothingLeft(t0, a, Progress{}).Reason, NoUpstream)
-	is.Equal(NothingLeft(t0, a, Progress{}.With(Unsent)).NotRun, true)
-	is.Equal(NothingLeft(t0, a, Progress{}.With(Lost)).NotRun, false)
+	is.Equal(NoUpstreamLeft(t0, a, Progress{}).Reason, NoUpstream)
+	is.Equal(NoUpstreamLeft(t0, a, Progress{}.With(Unsent)).NotRun, true)
+	is.Equal(NoUpstreamLeft(t0, a, Progress{}.With(Lost)).NotRun, false)
 }
--- a/internal/core/gateway/next.go
+++ b/internal/core/gateway/next.go
@@ -57,10 +57,10 @@
 	Unsent int
 	// MayHaveRun is true once an attempt has been made that is not provably unrun.
 	MayHaveRun bool
-	// Answering is true once the response headers were sent to the caller.
-	Answering bool
-	// Backed is true while another engine keeps a copy of the run's KV cache.
-	Backed bool
+	// ResponseStarted is true once the response headers were sent to the caller.
+	ResponseStarted bool
+	// HasBackup is true while another engine keeps a copy of the run's KV cache.
+	HasBackup bool
 	// Suspect is true if several upstreams crashed while running the request. It runs only
 	// once, as each further run may crash another upstream.
 	Suspect bool
@@ -87,8 +87,8 @@
 
 // Actions after a failure.
 const (
-	// Again sends the request to another upstream.
-	Again Action = iota + 1
+	// Retry sends the request to another upstream.
+	Retry Action = iota + 1
 	// Continue resumes the run from the copy of its KV cache. It is the same run, so this
 	// is also allowed for requests that may run only once.
 	Continue
@@ -96,9 +96,9 @@
 	Relay
 	// Refuse responds with the refusal.
 	Refuse
-	// Cut closes the caller's connection: the response headers were sent, but the rest
+	// Abort closes the caller's connection: the response headers were sent, but the rest
 	// cannot be delivered.
-	Cut
+	Abort
 )
 
 // Step is the decision after a failure.
@@ -111,17 +111,17 @@
 // which takes a retry from the budget, only if the action needs one.
 func Next(now time.Time, a Admission, p Progress, f Failure, spend func() bool) Step {
 	if f == CallerGone {
-		return Step{Do: Cut}
+		return Step{Do: Abort}
 	}
 	if mayContinue(now, a, p, f) && spend() {
 		return Step{Do: Continue}
 	}
 	if mayRetry(now, a, p, f) && (f == Unsent || f == Withheld || spend()) {
-		return Step{Do: Again}
+		return Step{Do: Retry}
 	}
 	switch {
-	case p.Answering:
-		return Step{Do: Cut}
+	case p.ResponseStarted:
+		return Step{Do: Abort}
 	case f == Faulty:
 		return Step{Do: Relay}
 	default:
@@ -132,7 +132,7 @@
 // mayContinue reports whether the run may resume from its copy. Before its first event
 // there may be no copy yet.
 func mayContinue(now time.Time, a Admission, p Progress, f Failure) bool {
-	return p.Backed && p.Answering && p.Replayable && !p.Suspect &&
+	return p.HasBackup && p.ResponseStarted && p.Replayable && !p.Suspect &&
 		(f == Lost || f == Silent) && a.Deadline.Sub(now) >= minRemaining
 }
 
@@ -169,8 +169,8 @@
 	}
 }
 
-// NothingLeft returns the refusal if no upstream is left to try.
-func NothingLeft(now time.Time, a Admission, p Progress) *Refusal {
+// NoUpstreamLeft returns the refusal if no upstream is left to try.
+func NoUpstreamLeft(now time.Time, a Admission, p Progress) *Refusal {
 	if p.MayHaveRun {
 		return refusalAfter(now, a, p, Lost)
 	}
--- a/internal/core/gateway/refusal.go
+++ b/internal/core/gateway/refusal.go
@@ -61,12 +61,12 @@
 	Reason Reason
 	// NotRun promises that the request has not run and will not run.
 	NotRun bool
-	// ComeBack is the delay after which the caller may retry; 0 if unspecified.
-	ComeBack time.Duration
+	// RetryAfter is the delay after which the caller may retry; 0 if unspecified.
+	RetryAfter time.Duration
 }
 
 func unavailable(reason Reason, retryAfter time.Duration) *Refusal {
-	return &Refusal{Kind: Unavailable, Reason: reason, NotRun: true, ComeBack: retryAfter}
+	return &Refusal{Kind: Unavailable, Reason: reason, NotRun: true, RetryAfter: retryAfter}
 }
 
 func denied(kind Kind, reason Reason) *Refusal {
@@ -77,8 +77,9 @@
 	return &Refusal{Kind: kind, Reason: reason}
 }
 
-// ForUpstreams reports whether the request has not run because no upstream accepted it.
-func (r *Refusal) ForUpstreams() bool {
+// ForLackOfUpstream reports whether the request has not run because no upstream accepted
+// it.
+func (r *Refusal) ForLackOfUpstream() bool {
 	return r.NotRun && (r.Reason == NoUpstream || r.Reason == RefusedByAll || r.Reason == Unreachable)
 }
 
@@ -109,10 +110,10 @@
 // may retry.
 func Busy(retryAfter time.Duration) *Refusal { return unavailable(PoolBusy, retryAfter) }
 
-// Ends refuses a request during which upstreams crashed one after the other. It is not
-// retried here, and its caller should not retry it either. Ran is true if the last crash
-// happened during this attempt.
-func Ends(ran bool) *Refusal {
+// CrashesUpstreams refuses a request during which upstreams crashed one after the other. It
+// is not retried here, and its caller should not retry it either. Ran is true if the last
+// crash happened during this attempt.
+func CrashesUpstreams(ran bool) *Refusal {
 	return &Refusal{Kind: Harmful, Reason: EndsUpstreams, NotRun: !ran}
 }
 
--- a/internal/core/health/doc.go
+++ b/internal/core/health/doc.go
@@ -10,10 +10,10 @@
 //
 // # Usage
 //
-//	s = s.WithBegun(now)
+//	s = s.WithResponseStart(now)
 //	s, d := s.WithRefusal(now, full)
 //	s, verdict, ok := s.WithVotes(now, told)
-//	if s.LeftOut(now) > 0 || s.PutLast(now) {
+//	if s.ExcludedFor(now) > 0 || s.Demoted(now) {
 //		// prefer other upstreams
 //	}
 package health
--- a/internal/core/health/state.go
+++ b/internal/core/health/state.go
@@ -22,9 +22,9 @@
 	refusalBackoffBase = 100 * time.Millisecond
 	// maxRefusals caps the number of refusals that extend the backoff.
 	maxRefusals = 6
-	// FullFor is how long an upstream is excluded after it refused a request because it was
-	// full: about as long as a few of its requests take.
-	FullFor = 50 * time.Millisecond
+	// FullBackoff is how long an upstream is excluded after it refused a request because it
+	// was full: about as long as a few of its requests take.
+	FullBackoff = 50 * time.Millisecond
 	// trialThreshold is the number of consecutive failures after which the next requests
 	// are trials, taken only from the least urgent ones. One in seven responses of a plain
 	// service may be an error without a fault of this upstream.
@@ -53,17 +53,17 @@
 	demotion  demotion
 }
 
-// WithBegun returns the state after a response started.
-func (s State) WithBegun(now time.Time) State {
+// WithResponseStart returns the state after a response started.
+func (s State) WithResponseStart(now time.Time) State {
 	s.startedAt = now
 	return s
 }
 
-// WithAnswer returns the state after a complete response that started at startedAt. A
+// WithResponse returns the state after a complete response that started at startedAt. A
 // response that started before the last failure does not reset the failures: an engine that
 // has just begun to hang still completes older streams for seconds, and these would hide
 // the fault.
-func (s State) WithAnswer(startedAt time.Time) State {
+func (s State) WithResponse(startedAt time.Time) State {
 	s.rate -= failureRateWeight * s.rate
 	s.refusals = max(0, s.refusals-1)
 	if !startedAt.Before(s.failedAt) {
@@ -90,7 +90,7 @@
 // not count against its health.
 func (s State) WithRefusal(now time.Time, full bool) (State, time.Duration) {
 	if full {
-		return s, FullFor
+		return s, FullBackoff
 	}
 	s = s.withConsecutiveFailure(now)
 	s.refusals = min(s.refusals+1, maxRefusals)
@@ -125,11 +125,11 @@
 	}
 	d := min(ejectBase<<min(s.ejections, maxDoublings), ejectMax)
 	s.ejections++
-	return s.WithLeftOut(now, d)
+	return s.WithExclusion(now, d)
 }
 
-// WithLeftOut returns the state with the upstream excluded for d.
-func (s State) WithLeftOut(now time.Time, d time.Duration) State {
+// WithExclusion returns the state with the upstream excluded for d.
+func (s State) WithExclusion(now time.Time, d time.Duration) State {
 	s.ejectedAt = now
 	if until := now.Add(d); until.After(s.excludedUntil) {
 		s.excludedUntil = until
@@ -143,11 +143,11 @@
 // Failures is the number of consecutive failures.
 func (s State) Failures() int { return s.failures }
 
-// LeftOut is the remaining time of the exclusion; 0 if there is none.
-func (s State) LeftOut(now time.Time) time.Duration { return max(0, s.excludedUntil.Sub(now)) }
+// ExcludedFor is the remaining time of the exclusion; 0 if there is none.
+func (s State) ExcludedFor(now time.Time) time.Duration { return max(0, s.excludedUntil.Sub(now)) }
 
 // OnTrial reports whether the next requests are trials, because the upstream has not yet
 // responded again to this gateway or to the others.
 func (s State) OnTrial(now time.Time) bool {
-	return ((s.refusals > 0 || s.failures >= trialThreshold) && now.Sub(s.failedAt) < trialFor) || s.TrialOfFew(now)
+	return ((s.refusals > 0 || s.failures >= trialThreshold) && now.Sub(s.failedAt) < trialFor) || s.InLimitedTrial(now)
 }
--- a/internal/core/health/state_test.go
+++ b/internal/core/health/state_test.go
@@ -27,7 +27,7 @@
 		{"the third", []bool{false, false}, 0, false, 400 * time.Millisecond},
 		{"the tenth", make([]bool, 9), 0, false, 3200 * time.Millisecond},
 		{"the third, after a response", []bool{false, false}, 1, false, 200 * time.Millisecond},
-		{"the upstream is full", []bool{false, false}, 0, true, FullFor},
+		{"the upstream is full", []bool{false, false}, 0, true, FullBackoff},
 		{"the first with capacity left", []bool{true, true}, 0, false, 100 * time.Millisecond},
 	}
 	for _, tt := range tests {
@@ -38,7 +38,7 @@
 				s, _ = s.WithRefusal(t0, full)
 			}
 			for range tt.answers {
-				s = s.WithAnswer(t0)
+				s = s.WithResponse(t0)
 			}
 			_, d := s.WithRefusal(t0, tt.full)
 			is.Equal(d, tt.want)
@@ -55,12 +55,12 @@
 	for _, seconds := range []int{1, 2, 4, 8, 8, 8, 8} {
 		want := time.Duration(seconds) * time.Second
 		s = s.WithEjection(now)
-		is.Equal(s.LeftOut(now), want)
+		is.Equal(s.ExcludedFor(now), want)
 		now = now.Add(want)
-		is.Equal(s.LeftOut(now), time.Duration(0))
+		is.Equal(s.ExcludedFor(now), time.Duration(0))
 	}
 	now = now.Add(ejectResetAfter + time.Second)
-	is.Equal(s.WithEjection(now).LeftOut(now), ejectBase)
+	is.Equal(s.WithEjection(now).ExcludedFor(now), ejectBase)
 }
 
 // A vote reflects the latest observation: a failure counts for longer after consecutive
@@ -81,13 +81,13 @@
 		want  Vote
 	}{
 		{"no observation", State{}, 1, None},
-		{"a response started", State{}.WithBegun(t0), 1000, For},
+		{"a response started", State{}.WithResponseStart(t0), 1000, For},
 		{"a request failed", failed(1), 1000, Against},
 		{"two failed", failed(2), 2000, Against},
 		{"ten failed", failed(10), 8000, Against},
-		{"a response started after failures", failed(3).WithBegun(at(1)), 1000, For},
-		{"a request failed after a response started", State{}.WithBegun(at(-1)).WithFailure(t0), 1000, Against},
-		{"an old stream completed after a failure", State{}.WithBegun(at(-10)).WithFailure(t0).WithAnswer(at(-10)), 1000, Against},
+		{"a response started after failures", failed(3).WithResponseStart(at(1)), 1000, For},
+		{"a request failed after a response started", State{}.WithResponseStart(at(-1)).WithFailure(t0), 1000, Against},
+		{"an old stream completed after a failure", State{}.WithResponseStart(at(-10)).WithFailure(t0).WithResponse(at(-10)), 1000, Against},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -111,18 +111,18 @@
 		for i := 0; i+1 < len(events); i += 2 {
 			now = now.Add(time.Duration(events[i+1]) * 20 * time.Millisecond)
 			s = event(t, s, now, events[i])
-			if s.LeftOut(now) > ejectMax {
-				t.Fatalf("excluded for %v", s.LeftOut(now))
+			if s.ExcludedFor(now) > ejectMax {
+				t.Fatalf("excluded for %v", s.ExcludedFor(now))
 			}
-			if s.PutLast(now.Add(demotionBase << maxDemotionDoublings)) {
+			if s.Demoted(now.Add(demotionBase << maxDemotionDoublings)) {
 				t.Fatalf("demoted for longer than the bound")
 			}
-			if s.PutLast(now) && s.TrialOfFew(now) {
+			if s.Demoted(now) && s.InLimitedTrial(now) {
 				t.Fatalf("demoted and on trial at once")
 			}
 		}
 		end := now.Add(demotionBase<<maxDemotionDoublings + maxTrialWait)
-		if s.LeftOut(end) > 0 || s.PutLast(end) || s.OnTrial(end) || s.Vote(end) != None {
+		if s.ExcludedFor(end) > 0 || s.Demoted(end) || s.OnTrial(end) || s.Vote(end) != None {
 			t.Fatalf("%+v has not expired long after the last event", s)
 		}
 	})
@@ -133,14 +133,14 @@
 	t.Helper()
 	switch kind % 10 {
 	case 0:
-		return s.WithBegun(now)
+		return s.WithResponseStart(now)
 	case 1:
-		return s.WithAnswer(now)
+		return s.WithResponse(now)
 	case 2:
 		return s.WithFailure(now)
 	case 3:
 		s, d := s.WithRefusal(now, false)
-		return s.WithLeftOut(now, d)
+		return s.WithExclusion(now, d)
 	case 4:
 		s, _ = s.WithHang(now, now.Add(-time.Second))
 		return s
@@ -153,7 +153,7 @@
 		return s
 	case 8:
 		before := s
-		s, _, ok := s.WithBegun(now.Add(time.Nanosecond)).WithVotes(now.Add(time.Nanosecond), Votes{Failing: 1})
+		s, _, ok := s.WithResponseStart(now.Add(time.Nanosecond)).WithVotes(now.Add(time.Nanosecond), Votes{Failing: 1})
 		if ok {
 			t.Fatalf("%+v was demoted by one vote although it responds to this gateway", before)
 		}
--- a/internal/core/health/votes.go
+++ b/internal/core/health/votes.go
@@ -93,14 +93,14 @@
 func (s State) WithVotes(now time.Time, others Votes) (State, Verdict, bool) {
 	all := others.With(s.Vote(now))
 	switch {
-	case s.PutLast(now):
+	case s.Demoted(now):
 	case all.against() && others.Failing > 0 && (all.Failing >= demotionQuorum || s.trialFailed(now)):
 		v := Verdict{Votes: all, For: demotionBase << min(s.demotion.count, maxDemotionDoublings)}
 		s.demotion = s.demotion.with(now, v.For)
 		return s, v, true
-	case all.against() && s.TrialOfFew(now):
+	case all.against() && s.InLimitedTrial(now):
 		s.demotion = s.demotion.withVote(now)
-	case all.Served > 0, !s.TrialOfFew(now):
+	case all.Served > 0, !s.InLimitedTrial(now):
 		s.demotion = demotion{}
 	}
 	return s, Verdict{}, false
@@ -125,26 +125,26 @@
 
 // trialFailed reports whether this gateway's own trial request failed.
 func (s State) trialFailed(now time.Time) bool {
-	return s.TrialOfFew(now) && s.Vote(now) == Against && s.failedAt.After(s.demotion.demotedUntil)
+	return s.InLimitedTrial(now) && s.Vote(now) == Against && s.failedAt.After(s.demotion.demotedUntil)
 }
 
 // Outvoted reports whether votes have demoted the upstream and nothing has reset that
 // since.
 func (s State) Outvoted() bool { return s.demotion.count > 0 }
 
-// PutLast reports whether the upstream is demoted by votes now.
-func (s State) PutLast(now time.Time) bool {
+// Demoted reports whether the upstream is demoted by votes now.
+func (s State) Demoted(now time.Time) bool {
 	return s.demotion.count > 0 && now.Before(s.demotion.demotedUntil)
 }
 
-// TrialOfFew reports whether a demotion has ended and the upstream has yet to respond to a
-// trial request of the few gateways that run the trial.
-func (s State) TrialOfFew(now time.Time) bool {
-	return s.demotion.count > 0 && !s.PutLast(now) && now.Before(s.demotion.trialUntil)
+// InLimitedTrial reports whether a demotion has ended and the upstream has yet to respond
+// to a trial request of the few gateways that run the trial.
+func (s State) InLimitedTrial(now time.Time) bool {
+	return s.demotion.count > 0 && !s.Demoted(now) && now.Before(s.demotion.trialUntil)
 }
 
-// Untried reports whether no low-urgency request arrived in time for such a trial. Without
-// this check all gateways would send requests at once when the wait ends.
-func (s State) Untried(now time.Time) bool {
-	return s.TrialOfFew(now) && now.Sub(s.demotion.demotedUntil) >= trialFor
+// TrialOverdue reports whether no low-urgency request arrived in time for such a trial.
+// Without this check all gateways would send requests at once when the wait ends.
+func (s State) TrialOverdue(now time.Time) bool {
+	return s.InLimitedTrial(now) && now.Sub(s.demotion.demotedUntil) >= trialFor
 }
--- a/internal/core/ingress/ingress_test.go
+++ b/internal/core/ingress/ingress_test.go
@@ -123,7 +123,7 @@
 			is := is.New(t)
 			table, faults := New(1, []*Route{chat, check, other}, []Pool{{Name: "p"}, {Name: "q"}}, tt.organisations, Limits{})
 			is.Equal(len(faults), 0)
-			is.Equal(table.IsLeast(tt.o, tt.r, tt.pool), tt.want)
+			is.Equal(table.IsLeastUrgent(tt.o, tt.r, tt.pool), tt.want)
 		})
 	}
 }
--- a/internal/core/ingress/urgency.go
+++ b/internal/core/ingress/urgency.go
@@ -65,9 +65,9 @@
 	return l
 }
 
-// IsLeast reports whether no request for the pool can be less urgent. The organisation
-// is nil on public routes.
-func (t *Table) IsLeast(o *Organisation, r *Route, pool string) bool {
+// IsLeastUrgent reports whether no request for the pool can be less urgent. The
+// organisation is nil on public routes.
+func (t *Table) IsLeastUrgent(o *Organisation, r *Route, pool string) bool {
 	organisation := 0
 	if o != nil {
 		organisation = o.Tier
--- a/internal/core/notice/state.go
+++ b/internal/core/notice/state.go
@@ -120,6 +120,6 @@
 // gateways heard of it differ, and so do their delays.
 func (s State) returnDelay(gateways int) time.Duration {
 	spread := min(time.Duration(gateways-1)*returnEvery, returnLatest)
-	part := rendezvous.Part(rendezvous.Mix(uint64(s.restUntil.UnixNano()), 0))
+	part := rendezvous.Fraction(rendezvous.Mix(uint64(s.restUntil.UnixNano()), 0))
 	return time.Duration(float64(spread) * part)
 }
--- a/internal/core/overload/overload.go
+++ b/internal/core/overload/overload.go
@@ -140,7 +140,7 @@
 		q.shares.take(now, a.Organisation, a.Tokens)
 		return 0
 	}
-	spread := comeBackLeast + (comeBackMost-comeBackLeast)*rendezvous.Part(a.Hash)
+	spread := comeBackLeast + (comeBackMost-comeBackLeast)*rendezvous.Fraction(a.Hash)
 	return max(comeBackFirst, part(spread, over))
 }
 
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -16,11 +16,11 @@
 //
 // # Usage
 //
-//	split := quota.Policy{Used: 0.9, Views: 1.2, Holders: 100}.Divide(bound)
+//	split := quota.Policy{Utilisation: 0.9, Views: 1.2, Holders: 100}.Divide(bound)
 //	share := split.Share(gateways)
 //	bucket := quota.NewBucket(now, share, 1)
 //	if bucket.Has(now, share) {
-//		bucket = bucket.Spent(now, share)
+//		bucket = bucket.Take(now, share)
 //	}
 package quota
 
@@ -45,8 +45,8 @@
 
 // Policy says how much of a bound is used and by how many gateways.
 type Policy struct {
-	// Used is the fraction of the rate that is used.
-	Used float64
+	// Utilisation is the fraction of the rate that is used.
+	Utilisation float64
 	// Views is the number of holder sets that may send at the same time because gateways
 	// disagree on the members of the fleet.
 	Views float64
@@ -69,7 +69,7 @@
 // gateway may send.
 func (p Policy) Divide(b Bound) Split {
 	window := b.Window.Seconds()
-	rate := p.Used * b.Rate
+	rate := p.Utilisation * b.Rate
 	room := b.Most/p.Views - window*rate
 	holders := max(1, int(math.Floor(min(room, float64(p.Holders)))))
 	left := b.Most/p.Views - float64(holders)
@@ -123,8 +123,8 @@
 // Has reports whether a token is available.
 func (b Bucket) Has(now time.Time, s Share) bool { return s.Every > 0 && !now.Before(b.Next(s)) }
 
-// Spent returns the bucket with one token less.
-func (b Bucket) Spent(now time.Time, s Share) Bucket {
+// Take returns the bucket with one token less.
+func (b Bucket) Take(now time.Time, s Share) Bucket {
 	from := b.fullAt
 	if now.After(from) {
 		from = now
@@ -132,9 +132,9 @@
 	return Bucket{fullAt: from.Add(s.Every)}
 }
 
-// Under returns the bucket adapted to another share: it lacks as many tokens as before, up
-// to the burst of the new share.
-func (b Bucket) Under(now time.Time, before, after Share) Bucket {
+// WithShare returns the bucket adapted to another share: it lacks as many tokens as before,
+// up to the burst of the new share.
+func (b Bucket) WithShare(now time.Time, before, after Share) Bucket {
 	if before.Every <= 0 {
 		return NewBucket(now, after, 0)
 	}
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -18,8 +18,8 @@
 // policy is used for limits that upstreams announce, cautious for the rates of cold
 // upstreams.
 var (
-	policy   = quota.Policy{Used: 0.9, Views: 1.2, Holders: 1 << 20}
-	cautious = quota.Policy{Used: 0.75, Views: 2, Holders: 3}
+	policy   = quota.Policy{Utilisation: 0.9, Views: 1.2, Holders: 1 << 20}
+	cautious = quota.Policy{Utilisation: 0.75, Views: 2, Holders: 3}
 )
 
 // limitOf returns the bound of an upstream that announces a limit.
@@ -73,15 +73,15 @@
 	later := t0.Add(time.Hour)
 	for range 2 {
 		is.True(b.Has(later, s))
-		b = b.Spent(later, s)
+		b = b.Take(later, s)
 	}
 	is.True(!b.Has(later, s))
 	is.Equal(b.Next(s), later.Add(time.Second))
 	fast := quota.Share{Every: 10 * time.Millisecond, Burst: 2}
-	is.True(b.Under(later, s, fast).Has(later.Add(10*time.Millisecond), fast)) // a higher rate applies at once
+	is.True(b.WithShare(later, s, fast).Has(later.Add(10*time.Millisecond), fast)) // a higher rate applies at once
 	slow := quota.Share{Every: 10 * time.Second, Burst: 2}
-	is.True(!b.Under(later, s, slow).Has(later.Add(9*time.Second), slow)) // and so does a lower one
-	is.True(b.Under(later, s, slow).Under(later, slow, s).Has(later.Add(time.Second), s))
+	is.True(!b.WithShare(later, s, slow).Has(later.Add(9*time.Second), slow)) // and so does a lower one
+	is.True(b.WithShare(later, s, slow).WithShare(later, slow, s).Has(later.Add(time.Second), s))
 }
 
 // simFleet simulates gateways in virtual time that join, crash, restart, are partitioned
@@ -243,10 +243,10 @@
 				g.bucket, g.share, g.started = quota.NewBucket(now, share, 1), share, true
 			}
 			if share != g.share {
-				g.bucket, g.share = g.bucket.Under(now, g.share, share), share
+				g.bucket, g.share = g.bucket.WithShare(now, g.share, share), share
 			}
 			for g.bucket.Has(now, share) {
-				g.bucket = g.bucket.Spent(now, share)
+				g.bucket = g.bucket.Take(now, share)
 				if !now.Before(g.ignoredUntil) {
 					sent = append(sent, now)
 				}
@@ -318,7 +318,7 @@
 					if isCalm && tt.gateways > 1 {
 						// Up to one token of each holder is used after the end.
 						tolerance := float64(split.Holders) / (length / 2).Seconds() / bound.Rate
-						is.True(used >= policy.Used-tolerance)
+						is.True(used >= policy.Utilisation-tolerance)
 					}
 				})
 			}
--- a/internal/core/rendezvous/rendezvous.go
+++ b/internal/core/rendezvous/rendezvous.go
@@ -29,11 +29,11 @@
 	return x ^ (x >> 31)
 }
 
-// Steps is the number of different values that Part returns.
-const Steps = 1024
+// FractionSteps is the number of different values that Fraction returns.
+const FractionSteps = 1024
 
-// Part maps a hash to a fraction in [0, 1), to spread simultaneous events over time.
-func Part(hash uint64) float64 { return float64(hash%Steps) / Steps }
+// Fraction maps a hash to a fraction in [0, 1), to spread simultaneous events over time.
+func Fraction(hash uint64) float64 { return float64(hash%FractionSteps) / FractionSteps }
 
 // Rank returns the members by descending score for the key.
 func Rank(key string, members []string) []string {
--- a/internal/core/spread/spread.go
+++ b/internal/core/spread/spread.go
@@ -34,12 +34,12 @@
 	// SilentAfter is the time without a response from any peer or the platform after which
 	// a process reads the platform directly.
 	SilentAfter = 10 * time.Second
-	// ProofAfter is the age of the platform's latest confirmation, as relayed between
+	// MaxProofAge is the age of the platform's latest confirmation, as relayed between
 	// processes, from which a process watches the platform itself: two watch intervals plus
 	// the propagation time in a large fleet.
-	ProofAfter = 45 * time.Second
-	// AloneFor is how long it then watches the platform.
-	AloneFor = 10 * time.Minute
+	MaxProofAge = 45 * time.Second
+	// DirectWatchFor is how long it then watches the platform.
+	DirectWatchFor = 10 * time.Minute
 	// Lease is the longest pause after which a process still trusts its last confirmation.
 	Lease = 10 * time.Second
 )
@@ -143,12 +143,12 @@
 	return max(0, now.Sub(f.provenAt)), !f.provenAt.IsZero()
 }
 
-// Alone reports whether the process watches the platform although it is no watcher, because
-// no process that it hears from has had a response for long. All watchers may have lost the
-// platform at the same time while it still serves others.
-func (f *Freshness) Alone(now time.Time) bool {
-	if now.Sub(f.provenAt) > ProofAfter {
-		f.directUntil = now.Add(AloneFor)
+// WatchesDirectly reports whether the process watches the platform although it is no
+// watcher, because no process that it hears from has had a response for long. All watchers
+// may have lost the platform at the same time while it still serves others.
+func (f *Freshness) WatchesDirectly(now time.Time) bool {
+	if now.Sub(f.provenAt) > MaxProofAge {
+		f.directUntil = now.Add(DirectWatchFor)
 	}
 	return now.Before(f.directUntil)
 }
--- a/internal/core/suspect/doc.go
+++ b/internal/core/suspect/doc.go
@@ -9,21 +9,22 @@
 // block it. One run that an upstream survives clears the request, and so does another
 // request that was present at all of the same crashes and at more.
 //
-// Gateways exchange their observations (Word). Observations may be late, lost, duplicated
-// or reordered: each states what was seen, never how much it counts, and receivers keep
-// only their union. A single gateway can make others quarantine a request but not block it.
+// Gateways exchange observations (Observation). These may be late, lost,
+// duplicated or reordered: each states what was seen, never how much it counts, and
+// receivers keep only their union. A single gateway can make others quarantine a request
+// but not block it.
 //
 // # Usage
 //
-//	r := suspect.NewRegister(self, epoch)
-//	switch r.Enter(now, fingerprint) {
+//	r := suspect.NewRegistry(self, epoch)
+//	switch r.Admit(now, fingerprint) {
 //	case suspect.Blocked: // refuse, and tell the caller not to retry
 //	case suspect.Occupied: // refuse, and let the caller retry soon
 //	case suspect.Quarantined: // run it alone
-//		defer r.Leave(fingerprint)
+//		defer r.Release(fingerprint)
 //	}
-//	r.Ended(now, fingerprint, start, ran) // the instance crashed while running it
-//	r.Survived(now, fingerprint)          // it was answered, or ran for long enough
-//	m := r.Tell(peer, false)              // message to another gateway
+//	r.RecordCrash(now, fingerprint, start, ran) // the instance crashed while running it
+//	r.RecordSuccess(now, fingerprint)           // it was answered, or ran for long enough
+//	m := r.Tell(peer, false)                    // message to another gateway
 //	r.Hear(now, peer, m, 0)
 package suspect
--- a/internal/core/suspect/fuzz_test.go
+++ b/internal/core/suspect/fuzz_test.go
@@ -13,11 +13,11 @@
 	f.Add(binary.BigEndian.AppendUint64(make([]byte, 40), 1<<63))
 	f.Add([]byte("\x01\x00\x00\x00\x00\x00\x00\x00\x01\x01\x01\x00\x00\x00\x00\x00\x00\x00\x02\x01\x01\x00\x00\x00\x00\x00\x00\x00\x03\x01"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		r := NewRegister(1, 1)
+		r := NewRegistry(1, 1)
 		const size = 11
 		now := t0
 		for ; len(data) >= size; data = data[size:] {
-			w := Word{
+			w := Observation{
 				Print:   Print{data[0]},
 				Round:   uint32(data[1]) << (data[1] % 32),
 				Start:   binary.BigEndian.Uint64(data[2:]),
@@ -26,9 +26,9 @@
 				Ran:     time.Duration(data[9]) * time.Hour,
 			}
 			position := Position{Epoch: uint64(data[0]), At: binary.BigEndian.Uint64(data[2:])}
-			r.Hear(now, "a", Message{Words: []Word{w}, After: position, Upto: position, Heard: position}, 0)
+			r.Hear(now, "a", Message{Words: []Observation{w}, After: position, Upto: position, Heard: position}, 0)
 			now = now.Add(time.Second)
-			if r.Look(now, w.Print) == Blocked {
+			if r.Check(now, w.Print) == Blocked {
 				t.Fatal("blocked on the report of one witness")
 			}
 			if r.Known() > maxRecords || len(r.Tell("a", false).Words) > maxPerMessage {
--- a/internal/core/suspect/observation.go
+++ b/internal/core/suspect/observation.go
@@ -15,8 +15,8 @@
 	maxPeers = 1024
 )
 
-// Word is one observation of a request by a gateway.
-type Word struct {
+// Observation is one observation of a request by a gateway.
+type Observation struct {
 	Print Print
 	// Round is the number of times that the request had been cleared before.
 	Round uint32
@@ -31,7 +31,7 @@
 }
 
 // clears reports whether the observation clears the request.
-func (o Word) clears() bool { return o.Start == 0 }
+func (o Observation) clears() bool { return o.Start == 0 }
 
 // Position is an offset in the observation log of one epoch of a gateway.
 type Position struct {
@@ -43,7 +43,7 @@
 // acknowledged, and the position up to which the sender has received the receiver's log. A
 // lost or late message does no harm: the next one repeats its content.
 type Message struct {
-	Words []Word
+	Words []Observation
 	// After and Upto are the sender's log positions before and after the observations.
 	After, Upto Position
 	// Heard is the position up to which the sender has received the receiver's log.
@@ -60,12 +60,12 @@
 // log holds the observations of a gateway in the order in which it learned them.
 type log struct {
 	epoch   uint64
-	entries []Word
+	entries []Observation
 	// first is the position of the oldest entry that is kept.
 	first uint64
 }
 
-func (l *log) add(o Word) {
+func (l *log) add(o Observation) {
 	l.entries = append(l.entries, o)
 	if over := len(l.entries) - maxLogEntries; over > 0 {
 		l.entries = append(l.entries[:0], l.entries[over:]...)
@@ -78,9 +78,9 @@
 
 // since returns the next entries after the position that include accepts, and the position
 // after them.
-func (l *log) since(at uint64, include func(Word) bool) ([]Word, uint64) {
+func (l *log) since(at uint64, include func(Observation) bool) ([]Observation, uint64) {
 	at = max(at, l.first)
-	var entries []Word
+	var entries []Observation
 	for at < l.end() && len(entries) < maxPerMessage {
 		if o := l.entries[at-l.first]; include(o) {
 			entries = append(entries, o)
@@ -99,7 +99,7 @@
 }
 
 // peer returns the exchange state with the gateway at the address.
-func (r *Register) peer(address string) *peer {
+func (r *Registry) peer(address string) *peer {
 	p, ok := r.peers[address]
 	if !ok {
 		if len(r.peers) >= maxPeers {
@@ -113,9 +113,9 @@
 
 // Tell returns the next message to the gateway at the address. If ownOnly is set, it leaves
 // out observations received from others.
-func (r *Register) Tell(address string, ownOnly bool) Message {
+func (r *Registry) Tell(address string, ownOnly bool) Message {
 	p := r.peer(address)
-	words, upto := r.log.since(p.acked, func(o Word) bool { return !ownOnly || o.Witness == r.self })
+	words, upto := r.log.since(p.acked, func(o Observation) bool { return !ownOnly || o.Witness == r.self })
 	return Message{
 		Words: words,
 		After: Position{Epoch: r.log.epoch, At: p.acked},
@@ -127,7 +127,7 @@
 // Hear processes a message. All observations of a member of the availability zone are
 // attributed to it as one witness, whatever it reports: witness is its hash, or 0 to keep
 // the witnesses in the message. It returns the requests with new evidence.
-func (r *Register) Hear(now time.Time, address string, m Message, witness uint64) []Print {
+func (r *Registry) Hear(now time.Time, address string, m Message, witness uint64) []Print {
 	p := r.peer(address)
 	p.acked = 0
 	if m.Heard.Epoch == r.log.epoch {
--- a/internal/core/suspect/registry.go
+++ b/internal/core/suspect/registry.go
@@ -48,8 +48,8 @@
 	return [...]string{"free", "quarantined", "occupied", "blocked"}[v]
 }
 
-// Register holds the evidence of one gateway. It is not safe for concurrent use.
-type Register struct {
+// Registry holds the evidence of one gateway. It is not safe for concurrent use.
+type Registry struct {
 	self      uint64
 	records   map[Print]*record
 	knownGood knownGood
@@ -57,11 +57,11 @@
 	peers     map[string]*peer
 }
 
-// NewRegister returns a registry of the gateway with this address hash. The epoch
+// NewRegistry returns a registry of the gateway with this address hash. The epoch
 // distinguishes restarts of the gateway: observations of an earlier epoch count as those of
 // another witness.
-func NewRegister(address, epoch uint64) *Register {
-	return &Register{
+func NewRegistry(address, epoch uint64) *Registry {
+	return &Registry{
 		self:    rendezvous.Mix(address, epoch),
 		records: make(map[Print]*record),
 		log:     log{epoch: epoch},
@@ -71,15 +71,15 @@
 
 // Known is the number of requests in the registry. While it is 0, no fingerprint needs to
 // be computed.
-func (r *Register) Known() int { return len(r.records) }
+func (r *Registry) Known() int { return len(r.records) }
 
 // Prints returns the fingerprints in the registry, in any order.
-func (r *Register) Prints() iter.Seq[Print] { return maps.Keys(r.records) }
+func (r *Registry) Prints() iter.Seq[Print] { return maps.Keys(r.records) }
 
 // Counts returns the number of quarantined and of blocked requests.
-func (r *Register) Counts(now time.Time) (quarantined, blocked int) {
+func (r *Registry) Counts(now time.Time) (quarantined, blocked int) {
 	for p := range r.records {
-		switch r.Look(now, p) {
+		switch r.Check(now, p) {
 		case Blocked:
 			blocked++
 		case Quarantined:
@@ -90,16 +90,16 @@
 	return quarantined, blocked
 }
 
-// Ends is the number of crashes that count against the request.
-func (r *Register) Ends(p Print) int {
+// Crashes is the number of crashes that count against the request.
+func (r *Registry) Crashes(p Print) int {
 	if rec, ok := r.records[p]; ok {
 		return rec.count(r.self)
 	}
 	return 0
 }
 
-// Look returns the verdict on the request without starting a run.
-func (r *Register) Look(now time.Time, p Print) Verdict {
+// Check returns the verdict on the request without starting a run.
+func (r *Registry) Check(now time.Time, p Print) Verdict {
 	rec, ok := r.records[p]
 	if !ok {
 		return Free
@@ -123,7 +123,7 @@
 // explained reports whether another request was present at all crashes of this one and at
 // more: that one is taken as the cause. Of two requests with the same crashes either may be
 // the cause, so neither is blocked until n reaches unconditionalBlockAt.
-func (r *Register) explained(p Print, rec *record, n int) bool {
+func (r *Registry) explained(p Print, rec *record, n int) bool {
 	for other, o := range r.records {
 		if other == p || !o.covers(rec) {
 			continue
@@ -135,10 +135,10 @@
 	return false
 }
 
-// Enter returns the verdict on a request that is about to run. If it is Quarantined, the
-// caller must call Leave after the run.
-func (r *Register) Enter(now time.Time, p Print) Verdict {
-	v := r.Look(now, p)
+// Admit returns the verdict on a request that is about to run. If it is Quarantined, the
+// caller must call Release after the run.
+func (r *Registry) Admit(now time.Time, p Print) Verdict {
+	v := r.Check(now, p)
 	if v != Quarantined {
 		return v
 	}
@@ -150,42 +150,42 @@
 	return Quarantined
 }
 
-// Leave records the end of a quarantined run.
-func (r *Register) Leave(p Print) {
+// Release records the end of a quarantined run.
+func (r *Registry) Release(p Print) {
 	if rec, ok := r.records[p]; ok && rec.running > 0 {
 		rec.running--
 	}
 }
 
-// Ended records that an upstream instance crashed while running the request, which this
-// gateway had sent there that long before.
-func (r *Register) Ended(now time.Time, p Print, start uint64, ran time.Duration) {
-	o := Word{Print: p, Start: start, Witness: r.self, At: now, Ran: ran}
+// RecordCrash records that an upstream instance crashed while running the request, which
+// this gateway had sent there that long before.
+func (r *Registry) RecordCrash(now time.Time, p Print, start uint64, ran time.Duration) {
+	o := Observation{Print: p, Start: start, Witness: r.self, At: now, Ran: ran}
 	if rec, ok := r.records[p]; ok {
 		o.Round = rec.round
 	}
 	r.apply(now, o)
 }
 
-// Survived records that the request ran here without harm: it was answered, or ran for long
-// enough. It reports whether evidence against the request was cleared.
-func (r *Register) Survived(now time.Time, p Print) bool {
+// RecordSuccess records that the request ran here without harm: it was answered, or ran for
+// long enough. It reports whether evidence against the request was cleared.
+func (r *Registry) RecordSuccess(now time.Time, p Print) bool {
 	r.knownGood.add(now, p)
 	return r.clearRecord(now, p)
 }
 
 // clearRecord clears the request by an observation of this gateway. It returns false if
 // there was no evidence against it.
-func (r *Register) clearRecord(now time.Time, p Print) bool {
+func (r *Registry) clearRecord(now time.Time, p Print) bool {
 	rec, ok := r.records[p]
 	if !ok || len(rec.crashes) == 0 {
 		return false
 	}
-	return r.apply(now, Word{Print: p, Round: rec.round + 1, Witness: r.self, At: now})
+	return r.apply(now, Observation{Print: p, Round: rec.round + 1, Witness: r.self, At: now})
 }
 
 // apply adds an observation. It returns false if the observation adds nothing new.
-func (r *Register) apply(now time.Time, o Word) bool {
+func (r *Registry) apply(now time.Time, o Observation) bool {
 	rec, ok := r.records[o.Print]
 	switch {
 	case !ok && (o.clears() || o.Round > maxRoundLead), ok && o.Round > rec.round+maxRoundLead:
@@ -215,7 +215,7 @@
 
 // evict drops the least important record if the registry is full. In a flood of crashes,
 // requests present at only one crash are dropped first, the oldest of them before others.
-func (r *Register) evict() {
+func (r *Registry) evict() {
 	if len(r.records) < maxRecords {
 		return
 	}
@@ -230,7 +230,7 @@
 }
 
 // Sweep drops the requests without a crash during the retention time.
-func (r *Register) Sweep(now time.Time) {
+func (r *Registry) Sweep(now time.Time) {
 	for p, rec := range r.records {
 		if now.Sub(rec.changedAt) > retention && rec.running == 0 {
 			delete(r.records, p)
--- a/internal/core/suspect/registry_test.go
+++ b/internal/core/suspect/registry_test.go
@@ -37,18 +37,18 @@
 }
 
 // feed passes the observations to the registry, one message each.
-func feed(r *Register, words []observation) {
+func feed(r *Registry, words []observation) {
 	for _, w := range words {
 		now := after(w.at)
 		switch {
 		case w.witness != 0:
-			r.Hear(now, fmt.Sprint(w.witness), Message{Words: []Word{{
+			r.Hear(now, fmt.Sprint(w.witness), Message{Words: []Observation{{
 				Print: fingerprintFor(w.print), Round: w.round, Start: w.start, Witness: w.witness, At: now, Ran: w.duration(),
 			}}}, 0)
 		case w.start == 0:
-			r.Survived(now, fingerprintFor(w.print))
+			r.RecordSuccess(now, fingerprintFor(w.print))
 		default:
-			r.Ended(now, fingerprintFor(w.print), w.start, w.duration())
+			r.RecordCrash(now, fingerprintFor(w.print), w.start, w.duration())
 		}
 	}
 }
@@ -98,9 +98,9 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			r := NewRegister(1, 1)
+			r := NewRegistry(1, 1)
 			feed(r, tt.words)
-			is.Equal(r.Look(after(tt.at), fingerprintFor("p")).String(), tt.want.String())
+			is.Equal(r.Check(after(tt.at), fingerprintFor("p")).String(), tt.want.String())
 		})
 	}
 }
@@ -108,40 +108,40 @@
 // A quarantined request runs once at a time at a gateway.
 func TestQuarantine(t *testing.T) {
 	is := is.New(t)
-	r := NewRegister(1, 1)
+	r := NewRegistry(1, 1)
 	feed(r, []observation{{1, "p", 1, 0, 0, 0}, {2, "p", 2, 0, 7, 0}})
 	p := fingerprintFor("p")
-	is.Equal(r.Enter(after(3), p), Quarantined)
-	is.Equal(r.Enter(after(3), p), Occupied)
-	is.Equal(r.Enter(after(3), fingerprintFor("other")), Free)
-	r.Leave(p)
-	is.Equal(r.Enter(after(3), p), Quarantined)
+	is.Equal(r.Admit(after(3), p), Quarantined)
+	is.Equal(r.Admit(after(3), p), Occupied)
+	is.Equal(r.Admit(after(3), fingerprintFor("other")), Free)
+	r.Release(p)
+	is.Equal(r.Admit(after(3), p), Quarantined)
 }
 
 // A restarted gateway at the same address counts as another witness.
 func TestEarlierStartOfTheGateway(t *testing.T) {
 	is := is.New(t)
-	before := NewRegister(1, 1)
+	before := NewRegistry(1, 1)
 	feed(before, []observation{{1, "p", 1, 0, 0, 0}, {2, "p", 2, 0, 0, 0}, {3, "p", 3, 0, 0, 0}})
-	now := NewRegister(1, 2)
+	now := NewRegistry(1, 2)
 	now.Hear(after(4), "relay", before.Tell("a", false), 0)
-	is.Equal(now.Look(after(4), fingerprintFor("p")), Quarantined)
+	is.Equal(now.Check(after(4), fingerprintFor("p")), Quarantined)
 	feed(now, []observation{{5, "p", 4, 0, 0, 0}})
-	is.Equal(now.Look(after(6), fingerprintFor("p")), Blocked)
+	is.Equal(now.Check(after(6), fingerprintFor("p")), Blocked)
 }
 
 // A flood of crashes, or of suspects made on purpose, stays within the size limits and does
 // not evict records with certain evidence.
 func TestFlood(t *testing.T) {
 	is := is.New(t)
-	r := NewRegister(1, 1)
+	r := NewRegistry(1, 1)
 	feed(r, []observation{{1, "p", 1, 0, 0, 0}, {2, "p", 2, 0, 0, 0}, {3, "p", 3, 0, 0, 0}})
 	for i := range 20 * maxRecords {
 		feed(r, []observation{{4 + float64(i)/100, fmt.Sprint(i), uint64(i/10 + 100), 0, uint64(i%3 + 7), 0}})
 	}
 	is.Equal(r.Known(), maxRecords)
-	is.Equal(r.Ends(fingerprintFor("p")), 3)
-	is.Equal(r.Look(after(60), fingerprintFor("p")), Blocked)
+	is.Equal(r.Crashes(fingerprintFor("p")), 3)
+	is.Equal(r.Check(after(60), fingerprintFor("p")), Blocked)
 	is.True(len(r.Tell("a", false).Words) <= maxPerMessage)
 	is.Equal(len(r.log.entries), maxLogEntries)
 	for i := range 3 * maxPeers {
@@ -156,9 +156,9 @@
 // messages are not sent.
 func TestNewcomer(t *testing.T) {
 	is := is.New(t)
-	relay := NewRegister(1, 1)
+	relay := NewRegistry(1, 1)
 	feed(relay, []observation{{1, "p", 1, 0, 0, 0}, {2, "p", 2, 0, 7, 0}, {3, "p", 3, 0, 8, 0}})
-	exchange := func(g *Register) {
+	exchange := func(g *Registry) {
 		if req := g.Tell("relay", true); !req.Empty() {
 			relay.Hear(after(4), "g", req, 9)
 		}
@@ -167,11 +167,11 @@
 		}
 	}
 	for epoch := range uint64(3) {
-		g := NewRegister(2, epoch+5)
+		g := NewRegistry(2, epoch+5)
 		for range 4 {
 			exchange(g)
 		}
-		is.Equal(g.Look(after(4), fingerprintFor("p")), Blocked)
+		is.Equal(g.Check(after(4), fingerprintFor("p")), Blocked)
 	}
 }
 
@@ -183,10 +183,10 @@
 		is := is.New(t)
 		rng := rand.New(rand.NewPCG(seed, 5))
 		const members = 4
-		relay := NewRegister(1, 1)
-		all := make([]*Register, members)
+		relay := NewRegistry(1, 1)
+		all := make([]*Registry, members)
 		for i := range all {
-			all[i] = NewRegister(uint64(i+2), seed+2)
+			all[i] = NewRegistry(uint64(i+2), seed+2)
 		}
 		var late []func(now time.Time)
 		exchange := func(now time.Time, i int, reliable bool) {
@@ -215,21 +215,21 @@
 			}
 		}
 		for end := range 3 {
-			all[rng.IntN(members)].Ended(now, fingerprintFor("p"), uint64(end+1), 0)
-			all[rng.IntN(members)].Ended(now, fingerprintFor("innocent"), uint64(end+1), 0)
-			all[rng.IntN(members)].Survived(now, fingerprintFor("innocent"))
+			all[rng.IntN(members)].RecordCrash(now, fingerprintFor("p"), uint64(end+1), 0)
+			all[rng.IntN(members)].RecordCrash(now, fingerprintFor("innocent"), uint64(end+1), 0)
+			all[rng.IntN(members)].RecordSuccess(now, fingerprintFor("innocent"))
 			step(5, false)
 		}
-		all[0] = NewRegister(2, seed+99)
+		all[0] = NewRegistry(2, seed+99)
 		for _, f := range late {
 			f(now)
 		}
 		step(8, true)
 		for _, r := range append(all, relay) {
 			// Observations that the restarted gateway had not sent yet are lost.
-			is.True(r.Look(now, fingerprintFor("p")) >= Quarantined)
-			is.Equal(r.Look(now, fingerprintFor("innocent")), relay.Look(now, fingerprintFor("innocent")))
-			is.Equal(r.Ends(fingerprintFor("p")) >= 2, true)
+			is.True(r.Check(now, fingerprintFor("p")) >= Quarantined)
+			is.Equal(r.Check(now, fingerprintFor("innocent")), relay.Check(now, fingerprintFor("innocent")))
+			is.Equal(r.Crashes(fingerprintFor("p")) >= 2, true)
 		}
 	}
 }
@@ -240,14 +240,14 @@
 		var before, now runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		r := NewRegister(1, 1)
+		r := NewRegistry(1, 1)
 		for i := range 3 * maxRecords {
 			for end := range blockAt {
-				r.Ended(after(float64(i)+float64(end)), fingerprintFor(fmt.Sprint(i)), uint64(1000*i+end), 0)
+				r.RecordCrash(after(float64(i)+float64(end)), fingerprintFor(fmt.Sprint(i)), uint64(1000*i+end), 0)
 			}
 		}
 		for i := range 2 * maxKnownGood {
-			r.Survived(after(float64(3*maxRecords+40*(i/maxKnownGood))), fingerprintFor(fmt.Sprint("sound-", i)))
+			r.RecordSuccess(after(float64(3*maxRecords+40*(i/maxKnownGood))), fingerprintFor(fmt.Sprint("sound-", i)))
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&now)
--- a/internal/core/suspect/replay_test.go
+++ b/internal/core/suspect/replay_test.go
@@ -51,7 +51,7 @@
 	scenario
 	rng      *rand.Rand
 	now      time.Time
-	gateways []*Register
+	gateways []*Registry
 	starts   []uint64
 	upAt     []time.Time
 	runs     []run
@@ -66,7 +66,7 @@
 func newReplay(a scenario, seed uint64) *replay {
 	r := &replay{scenario: a, rng: rand.New(rand.NewPCG(seed, 9)), now: t0, crashes: make(map[Print]int)}
 	for i := range replayGateways {
-		r.gateways = append(r.gateways, NewRegister(uint64(i+1), seed+1))
+		r.gateways = append(r.gateways, NewRegistry(uint64(i+1), seed+1))
 	}
 	for i := range replayUpstreams {
 		r.starts = append(r.starts, uint64(i+1))
@@ -151,7 +151,7 @@
 	if len(up) == 0 {
 		return
 	}
-	verdict := r.gateways[v.gateway].Enter(r.now, v.print)
+	verdict := r.gateways[v.gateway].Admit(r.now, v.print)
 	v.isolated = verdict == Quarantined
 	if verdict == Blocked || verdict == Occupied {
 		if !v.killer {
@@ -183,7 +183,7 @@
 			killers = append(killers, v)
 			return false
 		}
-		r.gateways[v.gateway].Survived(r.now, v.print)
+		r.gateways[v.gateway].RecordSuccess(r.now, v.print)
 		r.release(v)
 		return true
 	})
@@ -197,7 +197,7 @@
 
 func (r *replay) release(v run) {
 	if v.isolated {
-		r.gateways[v.gateway].Leave(v.print)
+		r.gateways[v.gateway].Release(v.print)
 	}
 }
 
@@ -208,7 +208,7 @@
 		if v.upstream != u {
 			return false
 		}
-		r.gateways[v.gateway].Ended(r.now, v.print, r.starts[u], r.now.Sub(v.sentAt))
+		r.gateways[v.gateway].RecordCrash(r.now, v.print, r.starts[u], r.now.Sub(v.sentAt))
 		r.release(v)
 		if !v.killer {
 			r.affected++
--- a/internal/core/warmup/warmup.go
+++ b/internal/core/warmup/warmup.go
@@ -58,7 +58,7 @@
 
 // SplitOf returns the split that keeps the bounds.
 func SplitOf(b Bounds) Split {
-	policy := quota.Policy{Used: usedShare, Views: views, Holders: holdersMost}
+	policy := quota.Policy{Utilisation: usedShare, Views: views, Holders: holdersMost}
 	split := policy.Divide(quota.Bound{Rate: b.PerSecond, Most: b.Most, Window: time.Second})
 	if split.Holders == 0 {
 		return Split{}
--- a/internal/edge/entryd/suspects.go
+++ b/internal/edge/entryd/suspects.go
@@ -31,7 +31,7 @@
 	if !x.s.sync.Suspects().Any() {
 		return nil
 	}
-	x.verdict = x.s.sync.Suspects().Enter(now, x.printed())
+	x.verdict = x.s.sync.Suspects().Admit(now, x.printed())
 	switch x.verdict {
 	case suspect.Blocked:
 		return endsUpstreams(false)
@@ -64,7 +64,7 @@
 		Print: x.printed(), Request: x.id, Organisation: x.call.Organisation.Name,
 		Start: f.GetEndedStart(), Upstream: a.agent, At: now, Ran: now.Sub(x.claimedAt),
 	})
-	v := x.s.sync.Suspects().Look(now, x.printed())
+	v := x.s.sync.Suspects().Check(now, x.printed())
 	if v != suspect.Free {
 		x.ticket.RunOnce()
 	}
@@ -74,7 +74,7 @@
 // leave notes what the request showed. It runs in the control loop.
 func (x *call) leave(now time.Time) {
 	if x.verdict == suspect.Quarantined {
-		x.s.sync.Suspects().Leave(x.printed())
+		x.s.sync.Suspects().Release(x.printed())
 	}
 	if x.answered() {
 		x.s.sync.Suspects().Clear(now, x.printed(), x.id)
--- a/internal/edge/gatewayd/crash_test.go
+++ b/internal/edge/gatewayd/crash_test.go
@@ -165,7 +165,7 @@
 	verdict := func() (v suspect.Verdict) {
 		w.server.control.Must(func(now time.Time) {
 			for p := range w.server.suspects.Prints() {
-				v = w.server.suspects.Look(now, p)
+				v = w.server.suspects.Check(now, p)
 			}
 		})
 		return v
--- a/internal/edge/gatewayd/lines.go
+++ b/internal/edge/gatewayd/lines.go
@@ -83,7 +83,7 @@
 		Int("attempt", len(x.tried)).
 		Str("upstream", c.ID).
 		Stringer("failure", f).
-		Bool("again", step.Do == gateway.Again || step.Do == gateway.Continue).
+		Bool("again", step.Do == gateway.Retry || step.Do == gateway.Continue).
 		Int("events", x.events).
 		Dur("left", x.left()).
 		AnErr("cause", err).
@@ -131,7 +131,7 @@
 		line = line.Str("reason", string(refusal.Reason)).
 			Int("status", statusOf(refusal.Kind)).
 			Bool("not_run", refusal.NotRun).
-			Dur("come_back", refusal.ComeBack).
+			Dur("come_back", refusal.RetryAfter).
 			Int64("version", x.admission.Version).
 			Dur("view_age", x.admission.Age)
 	}
--- a/internal/edge/gatewayd/patience.go
+++ b/internal/edge/gatewayd/patience.go
@@ -101,7 +101,7 @@
 // pauseLimit is how long a stream may say nothing after an event before it goes
 // on from the copy of its run; 0 if there is no copy, or any pause will do.
 func (x *request) pauseLimit() time.Duration {
-	if !x.progress.Backed {
+	if !x.progress.HasBackup {
 		return 0
 	}
 	return pauseFactor * x.admission.Route.PauseTarget
--- a/internal/edge/gatewayd/pick.go
+++ b/internal/edge/gatewayd/pick.go
@@ -57,7 +57,7 @@
 		Deadline:     x.admission.Deadline,
 		Protect:      route.Kind == ingress.Stream && !route.Resumable && !x.progress.Suspect,
 		Exclude:      x.tried,
-		Least:        x.view.Table.IsLeast(x.admission.Organisation, route, x.admission.Pool),
+		Least:        x.view.Table.IsLeastUrgent(x.admission.Organisation, route, x.admission.Pool),
 		Alone:        x.progress.Suspect,
 		Hash:         uint64(x.began.UnixNano()),
 	}
--- a/internal/edge/gatewayd/request.go
+++ b/internal/edge/gatewayd/request.go
@@ -155,7 +155,7 @@
 			return
 		}
 		if !ok {
-			x.end(gateway.NothingLeft(x.server.now(), x.admission, x.progress))
+			x.end(gateway.NoUpstreamLeft(x.server.now(), x.admission, x.progress))
 			return
 		}
 		if x.left() <= 0 {
@@ -165,7 +165,7 @@
 			return
 		}
 		x.backup = choice.Backup
-		x.progress.Backed = choice.Backup.Any()
+		x.progress.HasBackup = choice.Backup.Any()
 		failure, err := x.attempt(ctx, choice)
 		if failure == gateway.None {
 			x.logEnd(completed, nil)
@@ -173,17 +173,17 @@
 		}
 		now := x.server.now()
 		x.progress = x.progress.With(failure)
-		if failure == gateway.Lost && x.lostAt(ctx, choice) == suspect.Blocked && !x.progress.Answering {
+		if failure == gateway.Lost && x.lostAt(ctx, choice) == suspect.Blocked && !x.progress.ResponseStarted {
 			x.logFailure(choice, failure, gateway.Step{Do: gateway.Refuse}, err)
-			x.refuse(gateway.Ends(true))
+			x.refuse(gateway.CrashesUpstreams(true))
 			return
 		}
 		step := gateway.Next(now, x.admission, x.progress, failure, x.spend)
 		x.logFailure(choice, failure, step, err)
 		switch step.Do {
-		case gateway.Again:
+		case gateway.Retry:
 			next = x.pick
-			if x.progress.Answering {
+			if x.progress.ResponseStarted {
 				x.server.metrics.resumes.Inc()
 			}
 		case gateway.Continue:
@@ -195,7 +195,7 @@
 		case gateway.Refuse:
 			x.end(step.Refusal)
 			return
-		case gateway.Cut:
+		case gateway.Abort:
 			x.cut(failure)
 		}
 	}
--- a/internal/edge/gatewayd/respond.go
+++ b/internal/edge/gatewayd/respond.go
@@ -34,10 +34,10 @@
 
 // end answers with a refusal, or cuts an answer that cannot be completed.
 func (x *request) end(refusal *gateway.Refusal) {
-	if x.progress.Answering {
+	if x.progress.ResponseStarted {
 		x.cut(gateway.Lost)
 	}
-	if refusal.ForUpstreams() {
+	if refusal.ForLackOfUpstream() {
 		refusal = x.withComeBack(refusal)
 	}
 	x.refuse(refusal)
@@ -59,7 +59,7 @@
 // refuse answers in the gateway's own name.
 func (x *request) refuse(refusal *gateway.Refusal) {
 	h := x.w.Header()
-	for name, values := range platform.RefusalHeader(x.call.ID, refusal.ComeBack) {
+	for name, values := range platform.RefusalHeader(x.call.ID, refusal.RetryAfter) {
 		h[name] = values
 	}
 	text := string(refusal.Reason) + "\n"
--- a/internal/edge/gatewayd/server.go
+++ b/internal/edge/gatewayd/server.go
@@ -179,7 +179,7 @@
 		return errors.AssertionFailedf("Run needs Listen first")
 	}
 	//nolint:gosec // The number only tells starts apart.
-	s.suspects = suspects.New(suspect.NewRegister(s.hash(), rand.Uint64()), s.log)
+	s.suspects = suspects.New(suspect.NewRegistry(s.hash(), rand.Uint64()), s.log)
 	//nolint:gosec // Jitter needs no secret randomness.
 	s.fleet.Started(s.now(), s.o.Settings.Seeds, s.o.Settings.FirstStart, rand.Uint64())
 	group, work := errgroup.WithContext(work)
--- a/internal/edge/gatewayd/stream.go
+++ b/internal/edge/gatewayd/stream.go
@@ -78,7 +78,7 @@
 // commitStream sends the head of the answer, unless an earlier upstream's went
 // to the caller.
 func (x *request) commitStream(a answer) {
-	if !x.progress.Answering {
+	if !x.progress.ResponseStarted {
 		x.commit(a.StatusCode, a.Header, -1)
 	}
 }
--- a/internal/edge/gatewayd/suspects.go
+++ b/internal/edge/gatewayd/suspects.go
@@ -36,10 +36,10 @@
 	}
 	p := x.printed()
 	v := suspect.Free
-	x.server.control.Must(func(now time.Time) { v = x.server.suspects.Enter(now, p) })
+	x.server.control.Must(func(now time.Time) { v = x.server.suspects.Admit(now, p) })
 	switch v {
 	case suspect.Blocked:
-		return gateway.Ends(false)
+		return gateway.CrashesUpstreams(false)
 	case suspect.Occupied:
 		return gateway.Occupied()
 	case suspect.Quarantined:
@@ -53,7 +53,7 @@
 // leave notes that the request runs no more.
 func (x *request) leave() {
 	if x.quarantined {
-		x.server.control.Must(func(time.Time) { x.server.suspects.Leave(x.printed()) })
+		x.server.control.Must(func(time.Time) { x.server.suspects.Release(x.printed()) })
 	}
 }
 
@@ -99,7 +99,7 @@
 			s.foundEnded(now, c.Instance, balance.Dead)
 			s.table.FoundGone(now, c.Instance)
 		}
-		v = s.suspects.Look(now, lost.Print)
+		v = s.suspects.Check(now, lost.Print)
 	})
 	x.progress.Suspect = v != suspect.Free
 	return v
--- a/internal/edge/gatewayd/take.go
+++ b/internal/edge/gatewayd/take.go
@@ -46,7 +46,7 @@
 		return gateway.Lost, errors.Newf("%s without the promise that it did not run", a.Status)
 	case isSuccess(a.StatusCode) && isStream(a.Header):
 		return x.relayStream(ctx, a)
-	case x.progress.Answering:
+	case x.progress.ResponseStarted:
 		return gateway.Lost, errors.Newf("%s instead of the rest of a stream", a.Status)
 	case a.StatusCode >= http.StatusInternalServerError:
 		return x.keepError(ctx, a)
@@ -146,7 +146,7 @@
 		// Keeps the HTTP library from guessing one.
 		h["Content-Type"] = nil
 	}
-	x.progress.Answering = true
+	x.progress.ResponseStarted = true
 	x.firstByte = x.server.now().Sub(x.began)
 	x.w.WriteHeader(status)
 }
--- a/internal/edge/spread/platform.go
+++ b/internal/edge/spread/platform.go
@@ -104,7 +104,7 @@
 	alone := false
 	_ = s.o.Loop.Do(ctx, func(now time.Time) {
 		age, _ := s.fresh.ProofAge(now)
-		alone = s.fresh.Alone(now)
+		alone = s.fresh.WatchesDirectly(now)
 		if alone != s.alone {
 			s.alone = alone
 			s.o.Log.Info().Bool("alone", alone).Dur("proof_age", age).Msg("watch of the platform by a process that is no watcher")
--- a/internal/edge/spread/sync.go
+++ b/internal/edge/spread/sync.go
@@ -92,7 +92,7 @@
 		holder: revision.NewHolder(),
 		set:    member.NewSet(),
 		//nolint:gosec // The number only tells starts apart.
-		suspects: suspects.New(suspect.NewRegister(xxhash.Sum64String(o.Self.ID), rand.Uint64()), o.Log),
+		suspects: suspects.New(suspect.NewRegistry(xxhash.Sum64String(o.Self.ID), rand.Uint64()), o.Log),
 		pulls:    make(chan string, pullBacklog),
 		notices:  make(chan struct{}, 1),
 		rewatch:  make(chan struct{}, 1),
--- a/internal/edge/suspects/book.go
+++ b/internal/edge/suspects/book.go
@@ -35,15 +35,15 @@
 // Book is the register of one process. But for Any, it belongs to the control
 // goroutine.
 type Book struct {
-	*suspect.Register
+	*suspect.Registry
 	log zerolog.Logger
 	// known is the number of requests that are remembered.
 	known atomic.Int64
 }
 
 // New returns a book of the register.
-func New(r *suspect.Register, log zerolog.Logger) *Book {
-	return &Book{Register: r, log: log}
+func New(r *suspect.Registry, log zerolog.Logger) *Book {
+	return &Book{Registry: r, log: log}
 }
 
 // Any reports whether any request is remembered: if none is, nothing needs a print. It
@@ -66,24 +66,24 @@
 
 // EndedUnder notes that an upstream ended under the request.
 func (b *Book) EndedUnder(l Lost) {
-	b.Ended(l.At, l.Print, l.Start, l.Ran)
+	b.RecordCrash(l.At, l.Print, l.Start, l.Ran)
 	b.count()
 	b.log.Warn().Str("request", l.Request).Stringer("print", l.Print).Str("upstream", l.Upstream).
 		Str("organisation", l.Organisation).Dur("ran", l.Ran).
-		Int("ends", b.Ends(l.Print)).Stringer("verdict", b.Look(l.At, l.Print)).
+		Int("ends", b.Crashes(l.Print)).Stringer("verdict", b.Check(l.At, l.Print)).
 		Msg("upstream ended under a request")
 }
 
 // Clear notes that the request was answered, or ran for long.
 func (b *Book) Clear(now time.Time, p suspect.Print, request string) {
-	if b.Survived(now, p) {
+	if b.RecordSuccess(now, p) {
 		b.log.Info().Str("request", request).Stringer("print", p).Msg("suspect: cleared")
 	}
 }
 
 // Sweep forgets old requests, and sets the gauge of the others by verdict.
 func (b *Book) Sweep(now time.Time, gauge *prometheus.GaugeVec) {
-	b.Register.Sweep(now)
+	b.Registry.Sweep(now)
 	b.count()
 	quarantined, blocked := b.Counts(now)
 	gauge.WithLabelValues(suspect.Quarantined.String()).Set(float64(quarantined))
@@ -93,7 +93,7 @@
 // Tell returns the next message to the process at the address; nil if it says
 // nothing.
 func (b *Book) Tell(now time.Time, address string, own bool) *gladegaugev1.SuspectWords {
-	return encode(now, b.Register.Tell(address, own))
+	return encode(now, b.Registry.Tell(address, own))
 }
 
 // Hear takes a message from the process at the address, and reports whether it was
@@ -103,10 +103,10 @@
 	if msg == nil {
 		return false
 	}
-	news := b.Register.Hear(now, address, decode(now, msg), witness)
+	news := b.Registry.Hear(now, address, decode(now, msg), witness)
 	for _, p := range news {
 		b.log.Info().Stringer("print", p).Str("from", address).
-			Int("ends", b.Ends(p)).Stringer("verdict", b.Look(now, p)).
+			Int("ends", b.Crashes(p)).Stringer("verdict", b.Check(now, p)).
 			Msg("suspect: told")
 	}
 	b.count()
--- a/internal/edge/suspects/message.go
+++ b/internal/edge/suspects/message.go
@@ -37,7 +37,7 @@
 		if len(w.GetPrint()) != len(suspect.Print{}) {
 			continue
 		}
-		m.Words = append(m.Words, suspect.Word{
+		m.Words = append(m.Words, suspect.Observation{
 			Print: suspect.Print(w.GetPrint()), Round: w.GetRound(), Start: w.GetStart(), Witness: w.GetWitness(),
 			At:  now.Add(-time.Duration(w.GetAgeMs()) * time.Millisecond),
 			Ran: time.Duration(w.GetRanMs()) * time.Millisecond,
