--- a/internal/core/occupancy/book.go
+++ b/internal/core/occupancy/book.go
@@ -2,125 +2,132 @@
 
 import "time"
 
-// word is what was told, and when.
-type word struct {
+// report is the loads that a gateway, cell, zone or relay last sent, and when they
+// arrived.
+type report struct {
 	loads Loads
 	at    time.Time
 }
 
-// Book is what one gateway was told. It is not safe for concurrent use.
+// Book holds the load reports that one gateway has received. It is not safe for
+// concurrent use.
 type Book struct {
 	own Loads
-	// members are the words of the availability zone, everybody those of all: of members
-	// and of other zones.
-	members   *words
-	everybody *words
-	// all is what the relay told of all others.
-	all word
-	// keep is how long a word counts, age how old the words of others are when they come.
-	keep time.Duration
-	age  time.Duration
+	// members are the reports of the gateways and cells of the own availability zone,
+	// peers those of the members and of other zones.
+	members *reportSet
+	peers   *reportSet
+	// fromRelay is the relay's latest sum over all other gateways.
+	fromRelay report
+	// retention is how long a report stays valid, meanAge how old reports are on arrival
+	// on average.
+	retention time.Duration
+	meanAge   time.Duration
 }
 
-// New returns a book without a word.
+// New returns a book without reports.
 func New() *Book {
-	b := &Book{members: newWords(), everybody: newWords()}
+	b := &Book{members: newReportSet(), peers: newReportSet()}
 	b.Expect(PaceOf(1, 1, false))
 	return b
 }
 
-// Expect takes how the gateways tell now: the longer they take, the longer a word counts.
+// Expect sets the intervals at which gateways report: the longer they are, the longer a
+// report stays valid.
 func (b *Book) Expect(p Pace) {
-	b.keep = p.keep()
-	b.age = p.Age()
+	b.retention = p.retention()
+	b.meanAge = p.Age()
 }
 
-// Keep is how long a word counts.
-func (b *Book) Keep() time.Duration { return b.keep }
+// Keep is how long a report stays valid.
+func (b *Book) Keep() time.Duration { return b.retention }
 
-// Age is how old the words of others are when they come, in the mean.
-func (b *Book) Age() time.Duration { return b.age }
+// Age is the mean age of other gateways' reports on arrival.
+func (b *Book) Age() time.Duration { return b.meanAge }
 
-// fresh reports whether the word still counts.
-func (b *Book) fresh(now time.Time, w word) bool {
-	return !w.at.IsZero() && now.Sub(w.at) <= b.keep
+// fresh reports whether the report is still valid.
+func (b *Book) fresh(now time.Time, r report) bool {
+	return !r.at.IsZero() && now.Sub(r.at) <= b.retention
 }
 
-// Own takes what the gateway itself has.
+// Own sets the load of the gateway itself.
 func (b *Book) Own(l Loads) { b.own = l }
 
-// TakeMember takes what another gateway of the availability zone has. It is one
-// witness, whatever it tells.
+// TakeMember records the load of another gateway of the availability zone. Its report
+// counts as a single vote on an upstream's health, whatever numbers it contains.
 func (b *Book) TakeMember(now time.Time, address string, l Loads) {
 	b.TakeCell(now, address, l, 1)
 }
 
-// TakeCell takes the sum of what some gateways of the availability zone have. They are
-// so many witnesses at most.
+// TakeCell records the summed load of several gateways of the availability zone. The
+// report counts as at most that many votes on an upstream's health.
 func (b *Book) TakeCell(now time.Time, address string, l Loads, gateways int) {
-	l = l.withWitnesses(gateways)
-	b.members.take(now, address, l)
-	b.everybody.take(now, address, l)
+	l = l.capVotes(gateways)
+	b.members.record(now, address, l)
+	b.peers.record(now, address, l)
 }
 
-// TakeZone takes what the gateways of another availability zone have, or, under a name
-// that is no zone's, what the relay of the own one told the relay of a cell.
+// TakeZone records the load of the gateways of another availability zone. A cell's relay
+// also uses it, with a name that no zone has, for what it gets from the relay of its own
+// zone.
 func (b *Book) TakeZone(now time.Time, zone string, l Loads) {
-	b.everybody.take(now, zoneName(zone), l)
+	b.peers.record(now, zoneKey(zone), l)
 }
 
-// swappedShare is the part of the time between two words within which a word of another
-// availability zone says that its relay has asked already.
-const swappedShare = 0.75
+// exchangedShare is the part of the reporting interval within which a report from another
+// availability zone shows that its relay has just called this one.
+const exchangedShare = 0.75
 
-// Swapped reports whether the relay of the other availability zone has just told its word,
-// and been told this one's: a call takes both, and bytes between zones are dear.
+// Swapped reports whether the relay of the other availability zone has just exchanged
+// reports with this one. A call carries the reports of both sides, and traffic between
+// zones is expensive, so a second call is unnecessary.
 func (b *Book) Swapped(now time.Time, zone string, every time.Duration) bool {
-	w, ok := b.everybody.by[zoneName(zone)]
-	return ok && now.Sub(w.at) < time.Duration(swappedShare*float64(every))
+	r, ok := b.peers.by[zoneKey(zone)]
+	return ok && now.Sub(r.at) < time.Duration(exchangedShare*float64(every))
 }
 
-// TakeAll takes the relay's word on what all others have.
-func (b *Book) TakeAll(now time.Time, l Loads) { b.all = word{loads: l, at: now} }
+// TakeAll records the relay's sum over all other gateways.
+func (b *Book) TakeAll(now time.Time, l Loads) { b.fromRelay = report{loads: l, at: now} }
 
-// For returns what all gateways but one of the availability zone have: the answer
-// of a relay to that one.
+// For returns the load of all gateways except the given one of the availability zone.
+// This is a relay's answer to that gateway.
 func (b *Book) For(now time.Time, address string) Loads {
-	sum := b.told(now, address)
+	sum := b.peerSum(now, address)
 	sum.add(b.own)
 	return sum
 }
 
-// Zone returns what the gateways of the availability zone have.
+// Zone returns the load of all gateways of the availability zone.
 func (b *Book) Zone(now time.Time) Loads {
-	b.forget(now)
-	sum := b.members.without("")
+	b.expire(now)
+	sum := b.members.sumExcept("")
 	sum.add(b.own)
 	return sum
 }
 
-// Others returns what all other gateways have, as far as it is known; false if
-// nothing is. A relay knows it from its members and the other relays, everybody
-// else from the relay.
+// Others returns the load of all other gateways as far as it is known, and false if
+// nothing is known. A relay sums up the reports of its members and of other relays; any
+// other gateway uses the sum that its relay sent.
 func (b *Book) Others(now time.Time, relay bool) (Loads, bool) {
 	if !relay {
-		return b.all.loads, b.fresh(now, b.all)
+		return b.fromRelay.loads, b.fresh(now, b.fromRelay)
 	}
-	sum := b.told(now, "")
-	return sum, len(b.everybody.by) > 0
+	sum := b.peerSum(now, "")
+	return sum, len(b.peers.by) > 0
 }
 
-// told is what other gateways told, but for one of the availability zone.
-func (b *Book) told(now time.Time, except string) Loads {
-	b.forget(now)
-	return b.everybody.without(except)
+// peerSum returns the load that other gateways reported, except the given one of the
+// availability zone.
+func (b *Book) peerSum(now time.Time, except string) Loads {
+	b.expire(now)
+	return b.peers.sumExcept(except)
 }
 
-// forget drops the words that no longer count.
-func (b *Book) forget(now time.Time) {
-	b.members.forget(now, b.keep)
-	b.everybody.forget(now, b.keep)
+// expire drops the reports that are no longer valid.
+func (b *Book) expire(now time.Time) {
+	b.members.expire(now, b.retention)
+	b.peers.expire(now, b.retention)
 }
 
-// zoneName tells the word of an availability zone from that of a gateway.
-func zoneName(zone string) string { return "zone/" + zone }
+// zoneKey keeps the names of availability zones apart from the addresses of gateways.
+func zoneKey(zone string) string { return "zone/" + zone }
--- a/internal/core/occupancy/doc.go
+++ b/internal/core/occupancy/doc.go
@@ -1,14 +1,14 @@
-// Package occupancy holds what all gateways have at each upstream.
+// Package occupancy aggregates the load of all gateways at each upstream.
 //
-// A gateway knows exactly what it sent itself, which is a small part of what is
-// at an upstream. Gateways therefore tell each other sums: each one tells the
-// relay of its availability zone what it has, and gets the sum of all others
-// back; the relays tell each other the sums of their zones. A large zone is divided
-// into cells, each with a relay between its gateways and that of the zone, which is to
-// its cell what the other is to the zone.
+// A gateway knows exactly what it sent itself, but that is a small part of the load of an
+// upstream. Gateways therefore exchange sums: each gateway reports its load to the relay
+// of its availability zone and gets the sum of all other gateways back; the relays
+// exchange the sums of their zones. A large zone is divided into cells. Each cell has a
+// relay that stands between its gateways and the relay of the zone, and treats the zone's
+// relay as that one treats another zone's.
 //
-// A word counts for a short time only, so that a gateway that was cut off acts on what
-// it sees itself. Nothing here is needed to keep a promise.
+// A report is valid for a short time only, so that a gateway that is cut off acts on what
+// it observes itself. Correctness guarantees do not depend on this package.
 //
 // # Usage
 //
@@ -20,5 +20,5 @@
 //	} else {
 //		b.TakeAll(now, answerOfTheRelay)
 //	}
-//	others := b.Others(now)
+//	others, ok := b.Others(now, relay)
 package occupancy
--- a/internal/core/occupancy/load.go
+++ b/internal/core/occupancy/load.go
@@ -2,113 +2,118 @@
 
 import "math"
 
-// Load is what gateways have at one upstream.
+// Load is the load that one or more gateways have at one upstream.
 type Load struct {
-	// Requests is the number of requests that have not ended.
+	// Requests is the number of requests in flight.
 	Requests int
-	// Tight is the number of streams among them that bear only short pauses.
+	// Tight is the number of streams among them that tolerate only short gaps between
+	// events.
 	Tight int
-	// Unread is the prompt tokens that wait to be read.
+	// Unread is the number of prompt tokens that wait for prefill.
 	Unread int
-	// Tokens is the memory that the requests fill, in tokens.
+	// Tokens is the KV cache memory that the requests occupy, in tokens.
 	Tokens int
-	// Overdue is the number of prompts that have waited for longer than can be
-	// explained, and OverdueMs for how much longer, in milliseconds, summed up.
+	// Overdue is the number of prompts that have waited for longer than the known load
+	// explains, and OverdueMs the sum of the excess times in milliseconds.
 	Overdue   int
 	OverdueMs float64
-	// Tempos is the number of gateways that know the usual time between two
-	// events of the upstream's streams, and Tempo the sum of it, in milliseconds.
+	// Tempos is the number of gateways that know the usual time between two events of the
+	// upstream's streams, and Tempo the sum of these times in milliseconds.
 	Tempos int
 	Tempo  float64
-	// Strains and Strain are the same of that time whatever is read meanwhile.
+	// Strains and Strain are the same for the time between events including the effect of
+	// concurrent prefills.
 	Strains int
 	Strain  float64
-	// Longests and Longest are the same of the longest times of its tight streams.
+	// Longests and Longest are the same for the longest time between events of its tight
+	// streams.
 	Longests int
 	Longest  float64
-	// Gone is the number of gateways that found nothing, or another start, at the
+	// Gone is the number of gateways that found nothing, or another incarnation, at the
 	// upstream's address.
 	Gone int
-	// Closed is the number of gateways to which the upstream said that it leaves, or wants
-	// rest.
+	// Closed is the number of gateways to which the upstream announced that it is
+	// leaving, or asked them to back off.
 	Closed int
-	// Limited is the number of gateways to which the upstream lately named a limit, LimitLog
-	// the sum of the logarithms to base 2 of the requests a second that it named, and Free
-	// the number of those to which it named none.
+	// Limited is the number of gateways to which the upstream recently announced a rate
+	// limit, LimitLog the sum of the base-2 logarithms of the announced limits in
+	// requests per second, and Free the number of gateways to which it answered without a
+	// limit.
 	Limited  int
 	LimitLog float64
 	Free     int
-	// Failing is the number of gateways whose latest request failed there or was refused,
-	// Served of those whose latest one was answered.
+	// Failing is the number of gateways whose latest request there failed or was refused,
+	// Served the number of those whose latest request was answered.
 	Failing int
 	Served  int
 }
 
-// plus returns the sum.
+// plus returns the sum of both loads.
 func (l Load) plus(o Load) Load { return l.combined(o, 1) }
 
-// minus returns what is left without the other load, which is a part of this one.
+// minus returns the load without the other one, which is a part of it.
 func (l Load) minus(o Load) Load { return l.combined(o, -1) }
 
-// combined returns the load and the other one, taken so many times.
-func (l Load) combined(o Load, times int) Load {
-	part := float64(times)
+// combined returns the load plus the other one multiplied by the factor.
+func (l Load) combined(o Load, factor int) Load {
+	part := float64(factor)
 	return Load{
-		Requests:  l.Requests + times*o.Requests,
-		Tight:     l.Tight + times*o.Tight,
-		Unread:    l.Unread + times*o.Unread,
-		Tokens:    l.Tokens + times*o.Tokens,
-		Overdue:   l.Overdue + times*o.Overdue,
+		Requests:  l.Requests + factor*o.Requests,
+		Tight:     l.Tight + factor*o.Tight,
+		Unread:    l.Unread + factor*o.Unread,
+		Tokens:    l.Tokens + factor*o.Tokens,
+		Overdue:   l.Overdue + factor*o.Overdue,
 		OverdueMs: l.OverdueMs + part*o.OverdueMs,
-		Tempos:    l.Tempos + times*o.Tempos,
+		Tempos:    l.Tempos + factor*o.Tempos,
 		Tempo:     l.Tempo + part*o.Tempo,
-		Strains:   l.Strains + times*o.Strains,
+		Strains:   l.Strains + factor*o.Strains,
 		Strain:    l.Strain + part*o.Strain,
-		Longests:  l.Longests + times*o.Longests,
+		Longests:  l.Longests + factor*o.Longests,
 		Longest:   l.Longest + part*o.Longest,
-		Gone:      l.Gone + times*o.Gone,
-		Closed:    l.Closed + times*o.Closed,
-		Limited:   l.Limited + times*o.Limited,
+		Gone:      l.Gone + factor*o.Gone,
+		Closed:    l.Closed + factor*o.Closed,
+		Limited:   l.Limited + factor*o.Limited,
 		LimitLog:  l.LimitLog + part*o.LimitLog,
-		Free:      l.Free + times*o.Free,
-		Failing:   l.Failing + times*o.Failing,
-		Served:    l.Served + times*o.Served,
+		Free:      l.Free + factor*o.Free,
+		Failing:   l.Failing + factor*o.Failing,
+		Served:    l.Served + factor*o.Served,
 	}
 }
 
-// empty reports whether nothing is counted. What is left of the sums of fractions then
-// is rounding.
+// empty reports whether all counts are zero. The sums of floating-point values are
+// ignored, as only rounding errors remain of them then.
 func (l Load) empty() bool {
 	l.OverdueMs, l.Tempo, l.Strain, l.Longest, l.LimitLog = 0, 0, 0, 0, 0
 	return l == Load{}
 }
 
-// withWitnesses returns the load with what it tells of the upstream's health as the word of
-// so many gateways at most.
-func (l Load) withWitnesses(most int) Load {
-	l.Gone = min(l.Gone, most)
-	l.Closed = min(l.Closed, most)
-	l.LimitLog = meanLimitLog(l) * float64(min(l.Limited, most))
-	l.Limited = min(l.Limited, most)
-	l.Free = min(l.Free, most)
-	l.Failing = min(l.Failing, most)
-	l.Served = min(l.Served, most)
+// capVotes returns the load with its information on the upstream's health limited to the
+// votes of at most so many gateways.
+func (l Load) capVotes(maxVotes int) Load {
+	l.Gone = min(l.Gone, maxVotes)
+	l.Closed = min(l.Closed, maxVotes)
+	l.LimitLog = meanLimitLog(l) * float64(min(l.Limited, maxVotes))
+	l.Limited = min(l.Limited, maxVotes)
+	l.Free = min(l.Free, maxVotes)
+	l.Failing = min(l.Failing, maxVotes)
+	l.Served = min(l.Served, maxVotes)
 	return l
 }
 
-// limitLogMost bounds the logarithm of a limit: one gateway that lies must not move the
-// mean of all without bound. Limits of 1,024 requests a second and more bind nobody.
-const limitLogMost = 10
+// maxLimitLog bounds the logarithm of a limit, so that one faulty gateway cannot shift
+// the mean arbitrarily. Limits of 1,024 requests per second and more have no effect in
+// practice.
+const maxLimitLog = 10
 
-// WithLimit returns the load with the word of one gateway that the upstream named a limit.
+// WithLimit returns the load with one gateway's vote that the upstream announced a limit.
 func (l Load) WithLimit(perSecond float64) Load {
 	l.Limited = 1
-	l.LimitLog = min(max(math.Log2(perSecond), -limitLogMost), limitLogMost)
+	l.LimitLog = min(max(math.Log2(perSecond), -maxLimitLog), maxLimitLog)
 	return l
 }
 
-// Limit is the geometric mean of the limits that the upstream named, in requests a second;
-// 0 if it named none.
+// Limit is the geometric mean of the limits that the upstream announced, in requests per
+// second; 0 if it announced none.
 func (l Load) Limit() float64 {
 	if l.Limited == 0 {
 		return 0
@@ -116,15 +121,15 @@
 	return math.Exp2(meanLimitLog(l))
 }
 
-// meanLimitLog is the mean of the logarithms, within their bounds.
+// meanLimitLog is the mean of the logarithms, clamped to their bounds.
 func meanLimitLog(l Load) float64 {
 	if l.Limited == 0 || math.IsNaN(l.LimitLog) {
 		return 0
 	}
-	return min(max(l.LimitLog/float64(l.Limited), -limitLogMost), limitLogMost)
+	return min(max(l.LimitLog/float64(l.Limited), -maxLimitLog), maxLimitLog)
 }
 
-// Loads are by the hash of the upstream's identity. Upstreams with nothing are
+// Loads maps the hash of an upstream's identity to its load. Upstreams without load are
 // left out.
 type Loads map[uint64]Load
 
@@ -135,8 +140,8 @@
 	}
 }
 
-// remove takes away the loads of other gateways that were added.
-func (l Loads) remove(o Loads) {
+// subtract removes loads that were added before.
+func (l Loads) subtract(o Loads) {
 	for id, load := range o {
 		left := l[id].minus(load)
 		if left.empty() {
@@ -147,13 +152,13 @@
 	}
 }
 
-// WithoutVerdicts returns the loads without what they tell of the upstreams' health.
-func (l Loads) WithoutVerdicts() Loads { return l.withWitnesses(0) }
+// WithoutVerdicts returns the loads without the votes on the upstreams' health.
+func (l Loads) WithoutVerdicts() Loads { return l.capVotes(0) }
 
-func (l Loads) withWitnesses(most int) Loads {
+func (l Loads) capVotes(maxVotes int) Loads {
 	out := make(Loads, len(l))
 	for id, load := range l {
-		out[id] = load.withWitnesses(most)
+		out[id] = load.capVotes(maxVotes)
 	}
 	return out
 }
--- a/internal/core/occupancy/occupancy_test.go
+++ b/internal/core/occupancy/occupancy_test.go
@@ -15,8 +15,8 @@
 // requests returns the loads of one upstream.
 func requests(n int) Loads { return Loads{7: {Requests: n, Unread: 10 * n}} }
 
-// Every gateway learns what all others have, whether it is a relay or not, and
-// nothing twice.
+// Every gateway gets the load of all others, whether it is a relay or not, and no load is
+// counted twice.
 func TestSums(t *testing.T) {
 	is := is.New(t)
 	relay, member := New(), New()
@@ -25,26 +25,26 @@
 	relay.TakeMember(t0, "m", requests(2))
 	relay.TakeMember(t0, "n", requests(4))
 	relay.TakeZone(t0, "z", requests(8))
-	relay.TakeZone(t0, "z", requests(16)) // the newer word
+	relay.TakeZone(t0, "z", requests(16)) // the newer report
 	is.Equal(relay.Zone(at(1))[7].Requests, 7)
 	is.Equal(relay.For(at(1), "m")[7], Load{Requests: 21, Unread: 210})
 	others, ok := relay.Others(at(1), true)
 	is.True(ok)
 	is.Equal(others[7].Requests, 22)
 	_, ok = member.Others(at(1), false)
-	is.True(!ok) // nothing was told yet
+	is.True(!ok) // no report yet
 	member.TakeAll(at(1), relay.For(at(1), "m"))
 	others, ok = member.Others(at(2), false)
 	is.True(ok)
 	is.Equal(others[7].Requests, 21)
 }
 
-// A word that is too old counts for nothing: a gateway that was cut off acts on
-// what it sees itself, and what a dead one had is forgotten.
-func TestOldWords(t *testing.T) {
+// An expired report counts for nothing: a gateway that is cut off acts on what it
+// observes itself, and the load of a dead gateway is dropped.
+func TestExpiredReports(t *testing.T) {
 	tests := []struct {
-		name string
-		tell func(b *Book)
+		name   string
+		record func(b *Book)
 	}{
 		{"of a member", func(b *Book) { b.TakeMember(t0, "m", requests(3)) }},
 		{"of a zone", func(b *Book) { b.TakeZone(t0, "z", requests(3)) }},
@@ -54,7 +54,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			b := New()
-			tt.tell(b)
+			tt.record(b)
 			for _, relay := range []bool{true, false} {
 				_, ok := b.Others(t0.Add(b.Keep()+time.Millisecond), relay)
 				is.True(!ok)
@@ -64,7 +64,7 @@
 	}
 }
 
-// A gateway that told and was not heard again is forgotten, whatever its address.
+// Gateways that reported once and never again are dropped, whatever their addresses.
 func TestBookIsBounded(t *testing.T) {
 	is := is.New(t)
 	b := New()
@@ -75,11 +75,11 @@
 		b.For(now, "m")
 	}
 	is.True(len(b.members.by) <= 10)
-	is.True(len(b.everybody.by) <= 20)
+	is.True(len(b.peers.by) <= 20)
 }
 
-// News reach everybody once, and nobody hears its own word.
-func TestNews(t *testing.T) {
+// Every gateway gets each part once, and none gets back what it reported itself.
+func TestPartLog(t *testing.T) {
 	is := is.New(t)
 	n := NewNews()
 	n.Add("a", []Part{{Key: 1}})
@@ -87,20 +87,20 @@
 	n.Add("", []Part{{Key: 3}})
 	is.Equal(n.For("a"), []Part{{Key: 2}, {Key: 3}})
 	is.Equal(len(n.For("a")), 0)
-	is.Equal(n.Beyond("r"), []Part{{Key: 1}, {Key: 2}}) // not what came from beyond
+	is.Equal(n.Beyond("r"), []Part{{Key: 1}, {Key: 2}}) // not what another zone reported
 	n.Add("b", []Part{{Key: 4}})
 	is.Equal(n.For("a"), []Part{{Key: 4}})
-	is.Equal(n.For("c"), []Part{{Key: 1}, {Key: 2}, {Key: 3}, {Key: 4}}) // one that came later
+	is.Equal(n.For("c"), []Part{{Key: 1}, {Key: 2}, {Key: 3}, {Key: 4}}) // a gateway that asks for the first time
 }
 
-// The oldest news give way, and a long list comes in pieces.
-func TestNewsAreBounded(t *testing.T) {
+// The oldest entries are discarded, and a long list is sent in several messages.
+func TestPartLogIsBounded(t *testing.T) {
 	is := is.New(t)
 	n := NewNews()
-	for i := range 2 * newsKept {
+	for i := range 2 * maxLogEntries {
 		n.Add("a", []Part{{Key: uint64(i)}})
 	}
-	is.Equal(len(n.entries), newsKept)
+	is.Equal(len(n.entries), maxLogEntries)
 	got := 0
 	for {
 		parts := n.For("b")
@@ -110,12 +110,12 @@
 		is.True(len(parts) <= NewsMost)
 		got += len(parts)
 	}
-	is.Equal(got, newsKept)
+	is.Equal(got, maxLogEntries)
 }
 
-// A relay hears at most so many words a second, however large its zone is, and
-// each counts until several more should have come.
-func TestLargeZones(t *testing.T) {
+// A relay receives a bounded number of reports per second, however large its zone is, and
+// a report stays valid for several intervals.
+func TestRelayLoadIsBounded(t *testing.T) {
 	tests := []struct {
 		members int
 		every   time.Duration
@@ -129,10 +129,10 @@
 	}
 }
 
-// A gateway of a zone that is divided tells as often as one of a small zone, whatever the
-// size of its own; a zone that is not is told of as before. Words between zones come often
-// while the upstreams are busy.
-func TestPace(t *testing.T) {
+// In a divided zone, gateways report as often as in a small zone, whatever the size of
+// the zone; in an undivided one the interval grows with its size. Zones exchange reports
+// often while the upstreams are busy.
+func TestIntervals(t *testing.T) {
 	const ms = time.Millisecond
 	tests := []struct {
 		zone, cell int
@@ -151,14 +151,14 @@
 		is := is.New(t)
 		p := PaceOf(tt.zone, tt.cell, tt.busy)
 		is.Equal(p.Age(), tt.age)
-		is.True(p.keep() >= 3*p.calm)
-		p.calm = 0
+		is.True(p.retention() >= 3*p.zonesIdle)
+		p.zonesIdle = 0
 		is.Equal(p, tt.want)
 	}
 }
 
-// A cell's relay learns what everybody else has, and passes on what its cell has, nothing
-// twice.
+// The relay of a cell gets the load of everybody else and passes on the load of its cell;
+// nothing is counted twice.
 func TestCells(t *testing.T) {
 	is := is.New(t)
 	zone, cell := New(), New()
@@ -176,11 +176,11 @@
 	is.Equal(others[7].Requests, 1+2+4+16)
 	is.Equal(zone.For(t0, "m")[7].Requests, 1+4+8+16)
 	zone.TakeCell(t0, "cell", Loads{7: {Gone: 100}}, 2)
-	is.Equal(zone.Zone(t0)[7].Gone, 2) // so many witnesses
+	is.Equal(zone.Zone(t0)[7].Gone, 2) // capped at the number of gateways
 }
 
-// A gateway is one witness of a dead upstream, whatever it tells.
-func TestOneWitness(t *testing.T) {
+// A gateway has one vote on a dead upstream, whatever it reports.
+func TestOneVotePerGateway(t *testing.T) {
 	is := is.New(t)
 	relay := New()
 	relay.TakeMember(t0, "m", Loads{7: {Gone: 100}})
@@ -191,16 +191,17 @@
 	is.Equal(relay.Zone(at(3))[7].Gone, 1)
 }
 
-// What a gateway tells that is no member of the zone counts as load, and judges nobody.
-func TestNoWitness(t *testing.T) {
+// The report of a gateway that is not a member of the zone counts as load only, without
+// votes on the upstreams' health.
+func TestLoadsWithoutVotes(t *testing.T) {
 	is := is.New(t)
 	l := Loads{7: {Requests: 3, Gone: 1, Closed: 1, Failing: 1, Served: 1}}
 	is.Equal(l.WithoutVerdicts()[7], Load{Requests: 3})
-	is.Equal(l[7].Failing, 1) // it is as it was
+	is.Equal(l[7].Failing, 1) // the original is unchanged
 }
 
-// Of two relays that tell each other as often, one asks and the other is asked, whatever
-// their moments: each hears the other's word as often as when both asked.
+// Of two relays with the same interval, one calls and the other is called, whatever the
+// offset between their timers. Each gets the other's report as often as if both called.
 func TestRelaysAskInTurn(t *testing.T) {
 	const every = 100 * time.Millisecond
 	for offset := range 10 {
--- a/internal/core/occupancy/words_test.go
+++ b/internal/core/occupancy/report_set_test.go
@@ -10,10 +10,10 @@
 	"github.com/matryer/is"
 )
 
-// randomLoads returns what a gateway has at some of so many upstreams.
-func randomLoads(rng *rand.Rand, upstreams, at int) Loads {
-	l := make(Loads, at)
-	for range at {
+// randomLoads returns the load of a gateway at up to count of the upstreams.
+func randomLoads(rng *rand.Rand, upstreams, count int) Loads {
+	l := make(Loads, count)
+	for range count {
 		l[rng.Uint64N(uint64(upstreams))] = Load{
 			Requests: 1 + rng.IntN(3), Unread: rng.IntN(9000), Tempos: rng.IntN(2), Tempo: rng.Float64() * 40, Served: 1,
 		}
@@ -21,7 +21,7 @@
 	return l
 }
 
-// near reports whether both say the same, but for rounding.
+// near reports whether both are equal except for rounding errors.
 func near(a, b Loads) bool {
 	if len(a) != len(b) {
 		return false
@@ -39,32 +39,33 @@
 	return true
 }
 
-// The sum that is kept is the one of all words that count, whatever came and went.
-func TestKeptSum(t *testing.T) {
+// The incremental sum equals the sum of all valid reports after any sequence of arrivals
+// and expirations.
+func TestIncrementalSum(t *testing.T) {
 	is := is.New(t)
 	const members, upstreams, rounds = 30, 60, 4000
 	rng := rand.New(rand.NewPCG(1, 2))
 	b := New()
-	held := make(map[string]word)
+	reports := make(map[string]report)
 	for i := range rounds {
 		now := at(7 * i)
 		from := fmt.Sprint("m", rng.IntN(members))
 		l := randomLoads(rng, upstreams, rng.IntN(6))
 		b.TakeMember(now, from, l)
-		held[from] = word{loads: l, at: now}
+		reports[from] = report{loads: l, at: now}
 		want := make(Loads)
 		except := fmt.Sprint("m", rng.IntN(members))
-		for address, w := range held {
-			if address != except && now.Sub(w.at) <= b.Keep() {
-				want.add(w.loads)
+		for address, r := range reports {
+			if address != except && now.Sub(r.at) <= b.Keep() {
+				want.add(r.loads)
 			}
 		}
 		is.True(near(b.For(now, except), want))
 	}
 }
 
-// BenchmarkRelay is a word to a relay and its answer, with 45 upstreams of each of the
-// other zones for each of its members.
+// BenchmarkRelay measures recording a report at a relay and computing the answer, with 45
+// upstreams of each other zone per member of the own zone.
 func BenchmarkRelay(b *testing.B) {
 	for _, n := range []int{20, 70, 115} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -72,10 +73,10 @@
 			upstreams := 12 * n
 			book := New()
 			book.Expect(PaceOf(n, n, false))
-			var said []Loads
+			var sent []Loads
 			for i := range n {
-				said = append(said, randomLoads(rng, upstreams, 5))
-				book.TakeMember(t0, fmt.Sprint("m", i), said[i])
+				sent = append(sent, randomLoads(rng, upstreams, 5))
+				book.TakeMember(t0, fmt.Sprint("m", i), sent[i])
 			}
 			for z := range 4 {
 				book.TakeZone(t0, fmt.Sprint("z", z), randomLoads(rng, upstreams, upstreams))
@@ -86,7 +87,7 @@
 			}
 			b.ResetTimer()
 			for i := range b.N {
-				book.TakeMember(t0, names[i%n], said[i%n])
+				book.TakeMember(t0, names[i%n], sent[i%n])
 				book.For(t0.Add(time.Millisecond), names[i%n])
 			}
 		})
