--- a/internal/core/notice/book.go
+++ b/internal/core/notice/book.go
@@ -3,85 +3,85 @@
 import "time"
 
 const (
-	// keptFor is how long the word of a start counts that is not listed: entries lapse and
-	// come back while the platform is away.
-	keptFor = time.Hour
-	// keptMost bounds the starts that are not listed and have said something. A release of
-	// the largest pool goes through as many in some hours.
-	keptMost = 4096
+	// retention is how long the state of an unlisted incarnation stays valid: entries
+	// lapse and come back while the platform is unreachable.
+	retention = time.Hour
+	// maxEntries bounds the number of unlisted incarnations with a state. A release of
+	// the largest pool replaces about as many within a few hours.
+	maxEntries = 4096
 )
 
-// Book keeps the states of starts that are not listed now, so that an entry that comes
-// back does not take back what its upstream said. The zero value is empty. It is not safe
-// for concurrent use.
+// Book keeps the states of incarnations that are currently not listed, so that an entry
+// that comes back does not undo what its upstream announced. The zero value is empty. It
+// is not safe for concurrent use.
 type Book struct {
-	kept map[uint64]page
+	entries map[uint64]bookEntry
 }
 
-// page is the state of one start, and when it was put down.
-type page struct {
+// bookEntry is the state of one incarnation with the time when it was stored.
+type bookEntry struct {
 	state State
 	at    time.Time
 }
 
-// Put keeps the state of a start, if it says anything. The oldest one goes if there are
-// too many.
+// Put stores the state of an incarnation, unless nothing in it is in effect. The oldest
+// entry is evicted if there are too many.
 func (b *Book) Put(now time.Time, start uint64, s State) {
 	if !s.Any(now) {
 		return
 	}
-	if b.kept == nil {
-		b.kept = make(map[uint64]page)
+	if b.entries == nil {
+		b.entries = make(map[uint64]bookEntry)
 	}
-	b.kept[start] = page{state: s, at: now}
-	if len(b.kept) > keptMost {
-		b.forget(now)
+	b.entries[start] = bookEntry{state: s, at: now}
+	if len(b.entries) > maxEntries {
+		b.evict(now)
 	}
 }
 
-// Get returns the state of a start, with what was put down of it.
+// Get returns the stored state of an incarnation.
 func (b *Book) Get(now time.Time, start uint64) State {
-	p, ok := b.kept[start]
-	if !ok || now.Sub(p.at) > keptFor {
+	e, ok := b.entries[start]
+	if !ok || now.Sub(e.at) > retention {
 		return State{}
 	}
-	return p.state
+	return e.state
 }
 
-// forget drops what counts no more, or the oldest.
-func (b *Book) forget(now time.Time) {
+// evict drops the expired entries, and the oldest one if there are still too many.
+func (b *Book) evict(now time.Time) {
 	var oldest uint64
-	first := now.Add(1)
-	for start, p := range b.kept {
-		if now.Sub(p.at) > keptFor {
-			delete(b.kept, start)
+	oldestAt := now.Add(1)
+	for start, e := range b.entries {
+		if now.Sub(e.at) > retention {
+			delete(b.entries, start)
 			continue
 		}
-		if p.at.Before(first) {
-			oldest, first = start, p.at
+		if e.at.Before(oldestAt) {
+			oldest, oldestAt = start, e.at
 		}
 	}
-	if len(b.kept) > keptMost {
-		delete(b.kept, oldest)
+	if len(b.entries) > maxEntries {
+		delete(b.entries, oldest)
 	}
 }
 
-// Closed is the starts that have said something of themselves, or whose limit others tell
-// of, as they are at one moment.
-// It never changes, so that requests may read it beside the control state.
+// Closed is an immutable snapshot of the states of all incarnations that have announced
+// something, or whose limit other gateways report. Requests may read it concurrently with
+// changes to the control state.
 type Closed map[uint64]State
 
-// Has reports whether nothing may be sent to the start now.
+// Has reports whether nothing may be sent to the incarnation now.
 func (c Closed) Has(now time.Time, start uint64) bool {
 	s, ok := c[start]
 	return ok && s.Closed(now)
 }
 
-// Limited reports whether the start has a limit now.
+// Limited reports whether the incarnation has a limit now.
 func (c Closed) Limited(now time.Time, start uint64) bool {
 	s, ok := c[start]
 	return ok && s.Limit(now).Named
 }
 
-// SaidLimited reports whether a limit of the start is spoken of.
+// SaidLimited reports whether this or other gateways know of a limit of the incarnation.
 func (c Closed) SaidLimited(start uint64) bool { return c[start].SaidLimited() }
--- a/internal/core/notice/limit.go
+++ b/internal/core/notice/limit.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Limit is the number of requests a second that an upstream takes from all gateways
-// together. The zero value is none.
+// Limit is the number of requests per second that an upstream accepts from all gateways
+// together. The zero value is no limit.
 type Limit struct {
-	// Named is true if there is one.
+	// Named is true if there is a limit.
 	Named     bool
 	PerSecond float64
-	// Unclear is true if an answer names one that cannot be read: whether it still holds
-	// is not known then.
+	// Unclear is true if an answer announces a limit that cannot be parsed: it is unknown
+	// then whether the previous one still holds.
 	Unclear bool
 }
 
-// ParseLimit reads the figures of a limit, decimal numbers split by commas. The least one
-// holds; a decimal comma is read as less than was meant. It reports false if there is none
-// that can be read.
+// ParseLimit parses the values of a limit, decimal numbers separated by commas, and
+// returns the lowest one. A decimal comma therefore yields less than was meant. It
+// reports false if no value can be parsed.
 func ParseLimit(text string) (Limit, bool) {
 	l := Limit{PerSecond: math.Inf(1)}
 	for _, field := range strings.Split(text, ",") {
@@ -35,7 +35,7 @@
 	return l, true
 }
 
-// parseRate reads a finite decimal number that is not below 0.
+// parseRate parses a finite, non-negative decimal number.
 func parseRate(text string) (float64, bool) {
 	if strings.ContainsAny(text, "xX_") {
 		return 0, false
@@ -47,63 +47,63 @@
 	return v, true
 }
 
-// limitWord is what a start has said of its limit.
-type limitWord struct {
+// limitState is what one incarnation has announced about its limit.
+type limitState struct {
 	Limit
-	// namedAt is when an answer that names the limit was last read, heardAt when any was
-	// that tells whether there is one.
-	namedAt time.Time
-	heardAt time.Time
+	// announcedAt is when an answer with a limit was last received, reportedAt when an
+	// answer was last received that tells whether there is one.
+	announcedAt time.Time
+	reportedAt  time.Time
 }
 
-// with returns the word after an answer that was read now. Answers on different connections
-// overtake each other, so that one takes a limit back, or raises it, only if its request was
-// sent after the limit was last read. A lower one holds at once.
-func (w limitWord) with(now time.Time, n Notice) limitWord {
-	later := n.SentAt.After(w.namedAt)
+// with returns the state after an answer that is received now. Answers on different
+// connections can be reordered, so an answer removes or raises a limit only if its
+// request was sent after the limit was last announced. A lower limit applies at once.
+func (l limitState) with(now time.Time, n Notice) limitState {
+	later := n.SentAt.After(l.announcedAt)
 	switch {
 	case n.Limit.Unclear:
-		return w
+		return l
 	case n.Limit.Named:
-		if !w.Named || later || n.Limit.PerSecond < w.PerSecond {
-			w.Limit = n.Limit
+		if !l.Named || later || n.Limit.PerSecond < l.PerSecond {
+			l.Limit = n.Limit
 		}
-		w.namedAt, w.heardAt = now, now
+		l.announcedAt, l.reportedAt = now, now
 	case later:
-		w.Limit = Limit{}
-		w.heardAt = now
+		l.Limit = Limit{}
+		l.reportedAt = now
 	}
-	return w
+	return l
 }
 
 const (
-	// limitFreshFor is how long an answer that tells of a limit goes before what others
-	// tell, and is told to them. It is about the time in which each holder of a limit of
-	// one request a second gets a turn.
-	limitFreshFor = 4 * time.Second
-	// liftVotes is the number of other gateways whose word is taken for the end of a
-	// limit. One alone may be wrong.
-	liftVotes = 2
+	// limitFreshness is how long the limit in an own answer takes precedence over the
+	// reports of other gateways and is reported to them. It is about the time in which
+	// each holder of a limit of one request per second gets a turn.
+	limitFreshness = 4 * time.Second
+	// minLiftVotes is the number of other gateways that must report that a limit has
+	// ended. A single one may be wrong.
+	minLiftVotes = 2
 )
 
-// LimitVotes are what the latest answers of an upstream to other gateways told of a limit.
-// The zero value is nothing.
+// LimitVotes is what the latest answers of an upstream to other gateways said about a
+// limit. The zero value has no votes.
 type LimitVotes struct {
-	// Limited is the number of gateways to which it named one, PerSecond their mean, and
-	// Free the number of those to which it named none.
+	// Limited is the number of gateways to which it announced a limit, PerSecond the mean
+	// of these limits, and Free the number of gateways to which it answered without one.
 	Limited   int
 	PerSecond float64
 	Free      int
 }
 
-// lifts reports whether the votes speak for no limit.
-func (v LimitVotes) lifts() bool { return v.Free >= liftVotes && v.Free > v.Limited }
+// againstLimit reports whether the votes are that there is no limit.
+func (v LimitVotes) againstLimit() bool { return v.Free >= minLiftVotes && v.Free > v.Limited }
 
-// names reports whether the votes speak for a limit.
-func (v LimitVotes) names() bool { return v.Limited > 0 && v.Limited >= v.Free }
+// forLimit reports whether the votes are that there is a limit.
+func (v LimitVotes) forLimit() bool { return v.Limited > 0 && v.Limited >= v.Free }
 
-// LimitVote returns what this gateway tells others: what an answer told it lately. That
-// there is no limit is told of upstreams that are said to have one.
+// LimitVote returns the vote of this gateway, from a recent answer. Callers report that
+// there is no limit only for upstreams that are said to have one.
 func (s State) LimitVote(now time.Time) LimitVotes {
 	switch {
 	case !s.limit.fresh(now):
@@ -115,37 +115,39 @@
 	}
 }
 
-// WithLimitVotes returns the state after the votes of others came, which count until then.
+// WithLimitVotes returns the state with the votes of other gateways, which are valid
+// until the given time.
 func (s State) WithLimitVotes(v LimitVotes, until time.Time) State {
 	s.votes, s.votesUntil = v, until
 	return s
 }
 
-// fresh reports whether an answer told lately whether there is a limit.
-func (w limitWord) fresh(now time.Time) bool {
-	return !w.heardAt.IsZero() && now.Sub(w.heardAt) < limitFreshFor
+// fresh reports whether a recent answer told whether there is a limit.
+func (l limitState) fresh(now time.Time) bool {
+	return !l.reportedAt.IsZero() && now.Sub(l.reportedAt) < limitFreshness
 }
 
-// Limit is the limit that the upstream has now: by its latest answer, if that is fresh;
-// else by the word of others, and by its last answer if they do not agree. A gateway that
-// sends nothing hears nothing, and learns from others that a limit changed or ended.
+// Limit is the limit that applies now: the one of the latest own answer if that is
+// recent, else the one that the other gateways report, or that of the last own answer if
+// they disagree. A gateway that sends no requests gets no answers and learns from others
+// that a limit changed or ended.
 func (s State) Limit(now time.Time) Limit {
 	if s.limit.fresh(now) || !now.Before(s.votesUntil) {
 		return s.limit.Limit
 	}
 	switch {
-	case s.votes.names():
+	case s.votes.forLimit():
 		return Limit{Named: true, PerSecond: s.votes.PerSecond}
-	case s.votes.lifts():
+	case s.votes.againstLimit():
 		return Limit{}
 	default:
 		return s.limit.Limit
 	}
 }
 
-// Named is the limit that the upstream named last to this gateway.
+// Named is the limit that the upstream last announced to this gateway.
 func (s State) Named() Limit { return s.limit.Limit }
 
-// SaidLimited reports whether a limit of the upstream is spoken of: its answers are to be
-// read for that, then.
+// SaidLimited reports whether this or other gateways know of a limit of the upstream; its
+// answers must be checked for limits then.
 func (s State) SaidLimited() bool { return s.limit.Named || s.votes.Limited > 0 }
--- a/internal/core/notice/notice.go
+++ b/internal/core/notice/notice.go
@@ -1,39 +1,42 @@
-// Package notice holds what upstreams say of themselves in their answers: that they
-// leave, that they want rest, and how many requests a second they take.
+// Package notice tracks what upstreams announce about themselves in their answers: that
+// they are leaving, that gateways should back off, and how many requests per second they
+// accept.
 //
-// Such words are an upstream's own and no judgement of ours. They are of the start that
-// gave the answer, hold at once, and go before whatever the platform lists.
+// These announcements come from the upstream itself and are not a health verdict of the
+// gateway. They belong to the incarnation that gave the answer, take effect at once, and
+// take precedence over whatever the platform lists.
 //
 // # Usage
 //
 //	n := notice.Notice{Leaving: true}
 //	state = state.With(now, n)
 //	if state.Leaving() || state.Resting(now) {
-//		// nothing goes there
+//		// send nothing
 //	}
 package notice
 
 import "time"
 
-// Notice is what the head of one answer says of the upstream that gave it. The zero value
-// says nothing.
+// Notice is what the header of one answer announces about the upstream that gave it. The
+// zero value announces nothing.
 type Notice struct {
-	// Leaving means that the upstream takes no new work until its end.
+	// Leaving means that the upstream accepts no new work until it ends.
 	Leaving bool
-	// Rest is how long it wants nothing from this gateway; 0 if it does not say.
+	// Rest is how long this gateway should back off; 0 if the answer does not say.
 	Rest time.Duration
-	// Limit is the limit that the answer names.
+	// Limit is the rate limit that the answer announces.
 	Limit Limit
-	// SentAt is when the request was sent that the answer is to; zero if that is not known,
-	// as of interim answers and of those to other requests.
+	// SentAt is when the request of this answer was sent; zero if unknown, as for interim
+	// answers and answers to other requests.
 	SentAt time.Time
-	// Unread is the text of a word that could not be read; empty if all could.
+	// Unread is the text of an announcement that could not be parsed; empty if all could.
 	Unread string
-	// Of is the identity that the answer names; empty if it names none.
+	// Of is the upstream identity in the answer; empty if it has none.
 	Of string
-	// Elsewhere is true if the answer is of another start than the one that was addressed.
+	// Elsewhere is true if the answer comes from another incarnation than the addressed
+	// one.
 	Elsewhere bool
 }
 
-// Any reports whether the answer says anything of its upstream.
+// Any reports whether the answer announces anything about its upstream.
 func (n Notice) Any() bool { return n.Leaving || n.Rest > 0 || n.Limit.Named || n.Unread != "" }
--- a/internal/core/notice/rest.go
+++ b/internal/core/notice/retry_after.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// ParseRest reads the time of a Retry-After: seconds, whole or in fractions; false if the
-// text is none. What is longer than a Duration can hold is as long as it can. A date is
-// not read: it would be by the clock of another host.
+// ParseRest parses the value of a Retry-After header in whole or fractional seconds; it
+// reports false if the text is not such a number. Values that exceed a Duration are
+// clamped to its maximum. Dates are not accepted, as they would refer to the clock of
+// another host.
 func ParseRest(text string) (time.Duration, bool) {
 	s, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || math.IsNaN(s) || s < 0 {
--- a/internal/core/notice/state.go
+++ b/internal/core/notice/state.go
@@ -7,51 +7,53 @@
 )
 
 const (
-	// restMost is the longest rest that is believed. Planned work on a host takes up to an
-	// hour; a longer time is a mistake in its unit, and would keep an upstream out until
-	// it starts again.
-	restMost = time.Hour
-	// returnFor is how long after a rest an upstream gets its share back by degrees. It
-	// covers the four or five answers, one after the other, in which what may be
-	// unanswered there grows to what an upstream of 64 slots has.
-	returnFor = 2 * time.Second
-	// returnEvery is the mean time between the returns of two gateways to an upstream that
-	// asked all of them for rest at once: about one answer. returnLatest bounds the sum.
-	returnEvery  = 10 * time.Millisecond
-	returnLatest = time.Second
-	// floodedFrom is how many times as many requests an upstream may have that is back
-	// while all others rest: it would get all of its pool's requests otherwise.
-	floodedFrom = 4
+	// maxBackoff is the longest backoff that is honoured. Planned maintenance of a host
+	// takes up to an hour; a longer time is a mistake in the unit, and would keep an
+	// upstream out of use until it restarts.
+	maxBackoff = time.Hour
+	// slowStartDuration is how long after a backoff an upstream gets its share back
+	// gradually. It covers the four or five consecutive answers after which the allowed
+	// number of unanswered requests has grown to that of an upstream with 64 slots.
+	slowStartDuration = 2 * time.Second
+	// slowStartSpacing is the mean time between the first requests of two gateways to an
+	// upstream that asked all of them to back off at the same time: about one answer.
+	// maxSlowStartDelay bounds the total.
+	slowStartSpacing  = 10 * time.Millisecond
+	maxSlowStartDelay = time.Second
+	// hardLimitFactor is the factor by which an upstream in slow start may exceed its
+	// limit while all others of its pool back off: without a limit, it would get all
+	// requests of the pool.
+	hardLimitFactor = 4
 )
 
-// State is what one start of an upstream has said of itself until now. The zero value is
+// State is what one incarnation of an upstream has announced so far. The zero value is
 // nothing.
 type State struct {
 	leaving bool
-	// restUntil is when the last rest that it asked for ends; zero for none.
-	restUntil time.Time
-	// answered is the number of requests that it answered since.
+	// backoffUntil is when the last requested backoff ends; zero for none.
+	backoffUntil time.Time
+	// answered is the number of requests that the upstream has answered in slow start.
 	answered int
-	limit    limitWord
-	// votes are what others told of its limit; they count until votesUntil.
+	limit    limitState
+	// votes are the reports of other gateways about its limit, valid until votesUntil.
 	votes      LimitVotes
 	votesUntil time.Time
-	unread     string
+	unparsed   string
 }
 
-// With returns the state after a notice that came now. A rest never ends sooner by a
-// later word, and only another start takes back that it leaves.
+// With returns the state after a notice that is received now. A later notice never
+// shortens a backoff, and only a new incarnation ends the leaving state.
 func (s State) With(now time.Time, n Notice) State {
 	s.leaving = s.leaving || n.Leaving
 	s.limit = s.limit.with(now, n)
 	if n.Unread != "" {
-		s.unread = n.Unread
+		s.unparsed = n.Unread
 	}
 	if n.Rest <= 0 {
 		return s
 	}
-	if until := now.Add(min(n.Rest, restMost)); until.After(s.restUntil) {
-		s.restUntil = until
+	if until := now.Add(min(n.Rest, maxBackoff)); until.After(s.backoffUntil) {
+		s.backoffUntil = until
 		s.answered = 0
 	}
 	return s
@@ -59,67 +61,68 @@
 
 // WithAnswer returns the state after the upstream began to answer a request.
 func (s State) WithAnswer(now time.Time) State {
-	if s.returns(now) {
+	if s.inSlowStart(now) {
 		s.answered++
 	}
 	return s
 }
 
-// Any reports whether the upstream has said anything that still holds.
+// Any reports whether anything that the upstream announced is in effect.
 func (s State) Any(now time.Time) bool { return s.SaidLimited() || s.Away(now) }
 
-// Away reports whether the upstream leaves, rests, or has just returned.
-func (s State) Away(now time.Time) bool { return s.leaving || s.Resting(now) || s.returns(now) }
+// Away reports whether the upstream is leaving, in backoff, or in slow start.
+func (s State) Away(now time.Time) bool { return s.leaving || s.Resting(now) || s.inSlowStart(now) }
 
-// Unread is the latest text of the upstream that could not be read.
-func (s State) Unread() string { return s.unread }
+// Unread is the text of the latest announcement that could not be parsed.
+func (s State) Unread() string { return s.unparsed }
 
-// Leaving reports whether the upstream has said that it leaves.
+// Leaving reports whether the upstream has announced that it is leaving.
 func (s State) Leaving() bool { return s.leaving }
 
-// Resting reports whether the upstream wants nothing now.
-func (s State) Resting(now time.Time) bool { return now.Before(s.restUntil) }
+// Resting reports whether the upstream is in a requested backoff.
+func (s State) Resting(now time.Time) bool { return now.Before(s.backoffUntil) }
 
 // Closed reports whether nothing may be sent to the upstream now.
 func (s State) Closed(now time.Time) bool { return s.leaving || s.Resting(now) }
 
-// RestUntil is when the last rest that the upstream asked for ends; zero for none.
-func (s State) RestUntil() time.Time { return s.restUntil }
+// RestUntil is when the last requested backoff ends; zero for none.
+func (s State) RestUntil() time.Time { return s.backoffUntil }
 
-// Rested reports whether the upstream has ever asked for rest. Most never do, and are asked
-// nothing else then.
-func (s State) Rested() bool { return !s.restUntil.IsZero() }
+// Rested reports whether the upstream has ever requested a backoff. Most never do, and
+// callers can skip the other checks for them.
+func (s State) Rested() bool { return !s.backoffUntil.IsZero() }
 
-// returns reports whether a rest of the upstream ended a moment ago.
-func (s State) returns(now time.Time) bool {
-	return s.Rested() && !s.Resting(now) && now.Sub(s.restUntil) < returnFor
+// inSlowStart reports whether a backoff of the upstream has ended recently.
+func (s State) inSlowStart(now time.Time) bool {
+	return s.Rested() && !s.Resting(now) && now.Sub(s.backoffUntil) < slowStartDuration
 }
 
-// Spared reports whether the upstream has as many requests as it should get so soon after
-// its rest: no more may be unanswered than it has answered since, and one. The first ones
-// of many gateways are spread over a moment. Others are used first then; it is no reason
-// to refuse a request.
+// Spared reports whether the upstream has reached its slow start limit: the number of
+// unanswered requests may exceed that of the answers since the backoff by one. The first
+// requests of many gateways are spread over a short time. Other upstreams are preferred
+// then, but no request is refused for this reason.
 func (s State) Spared(now time.Time, gateways, unanswered int) bool {
-	if !s.returns(now) {
+	if !s.inSlowStart(now) {
 		return false
 	}
-	return now.Before(s.restUntil.Add(s.returnDelay(gateways))) || unanswered > s.answered
+	return now.Before(s.backoffUntil.Add(s.slowStartDelay(gateways))) || unanswered > s.answered
 }
 
-// Untried reports whether the upstream has answered nothing since a rest that ended a
-// moment ago.
-func (s State) Untried(now time.Time) bool { return s.returns(now) && s.answered == 0 }
+// Untried reports whether the upstream is in slow start and has not answered a request
+// since its backoff.
+func (s State) Untried(now time.Time) bool { return s.inSlowStart(now) && s.answered == 0 }
 
-// Flooded reports whether the upstream has so many requests so soon after its rest that
-// more would make it refuse again, also where no others are left.
+// Flooded reports whether the upstream has so many requests in slow start that more would
+// make it refuse again. This holds even if no other upstream is available.
 func (s State) Flooded(now time.Time, unanswered int) bool {
-	return s.returns(now) && unanswered >= floodedFrom*(s.answered+1)
+	return s.inSlowStart(now) && unanswered >= hardLimitFactor*(s.answered+1)
 }
 
-// returnDelay is how long after the rest this gateway returns. The moments at which
-// gateways heard of it differ, and so do their delays.
-func (s State) returnDelay(gateways int) time.Duration {
-	spread := min(time.Duration(gateways-1)*returnEvery, returnLatest)
-	part := rendezvous.Part(rendezvous.Mix(uint64(s.restUntil.UnixNano()), 0))
-	return time.Duration(float64(spread) * part)
+// slowStartDelay is how long after the backoff this gateway sends its first request. The
+// delay is derived from the time at which the gateway learned of the backoff, which
+// differs between gateways.
+func (s State) slowStartDelay(gateways int) time.Duration {
+	spread := min(time.Duration(gateways-1)*slowStartSpacing, maxSlowStartDelay)
+	fraction := rendezvous.Part(rendezvous.Mix(uint64(s.backoffUntil.UnixNano()), 0))
+	return time.Duration(float64(spread) * fraction)
 }
--- a/internal/core/occupancy/load.go
+++ b/internal/core/occupancy/load.go
@@ -18,11 +18,12 @@
 	Overdue   int
 	OverdueMs float64
 	// Tempos is the number of gateways that know the usual time between two events of the
-	// upstream's streams, and Tempo the sum of these times in milliseconds.
+	// upstream's streams while nothing is prefilled, and Tempo the sum of these times in
+	// milliseconds.
 	Tempos int
 	Tempo  float64
-	// Strains and Strain are the same for the time between events including the effect of
-	// concurrent prefills.
+	// Strains and Strain are the same for the mean time between events, including the
+	// effect of concurrent prefills.
 	Strains int
 	Strain  float64
 	// Longests and Longest are the same for the longest time between events of its tight
--- a/internal/core/overload/overload.go
+++ b/internal/core/overload/overload.go
@@ -1,34 +1,34 @@
-// Package overload decides who is turned away when a pool has more to read than it
-// can.
+// Package overload does admission control for pools that get more prompt tokens than they
+// can prefill.
 //
-// # The load that this answers
+// # Problem
 //
-// More prompts come than the engines can read, for many seconds. If all are taken, all
-// wait until few are in time and many are given up after they were read. Streams pause
-// beside engines that never stop reading, so that more of them run at once, and each
-// token takes still longer.
+// For many seconds more prompts arrive than the engines can read. If all are admitted,
+// all wait until few are in time and many are abandoned after they were read. Streams
+// stall at engines that prefill without a pause, so that more of them run concurrently,
+// and each token takes still longer.
 //
-// So a request that would wait for too long before it is read is turned away at once,
-// with the time after which it is expected to fit. Only the least urgent requests of a
-// pool are: urgent ones go before them in the engines' queues, and nothing is turned
-// away to make room for what stands below it. As the wait is what decides, some are
-// always taken, large or small.
+// So a request that would wait too long for its prefill is rejected at once, with the
+// time after which it is expected to fit. Only the least urgent requests of a pool are
+// rejected: urgent ones go before them in the engines' queues, and no request is rejected
+// to make room for less urgent ones. As the wait decides, some requests are always
+// admitted, large or small.
 //
-// # What is too long
+// # Threshold
 //
-// A queue that a burst leaves and that goes away again does no harm, and to turn its
-// requests away helps nobody. A queue that stands makes everybody late for as long as it
-// stands. They are told apart by the wait that requests meet in the mean of the last
-// second: while it stays short, a request may wait for most of its target or all of it;
-// once it does not, for a small part only, until the queue is gone. One limit for both was
-// worse on either side.
+// A queue that a burst leaves and that drains again does no harm, and rejecting its
+// requests helps nobody. A standing queue makes everybody late for as long as it stands.
+// They are told apart by the mean wait of the requests in the last second: while it is
+// short, a request may wait for most of its target or all of it; once it is long, for a
+// small part only, until the queue has drained. A single limit for both cases was worse
+// for either.
 //
-// # Who goes first
+// # Order of rejection
 //
-// Engines that read without a pause make tokens slowly. A long answer that cannot be
-// complete before its caller leaves is turned away before others are: its reading would
-// be for nothing, and takes the place of two or three that can be. Among the rest, the
-// organisations that got the most are turned away first (shares.go).
+// Engines that prefill without a pause generate tokens slowly. A long answer that cannot
+// be complete before its caller gives up is rejected first: its prefill would be wasted,
+// and takes the place of two or three that can be complete. Among the others, the
+// organisations that got the most are rejected first (shares.go).
 //
 // # Usage
 //
@@ -45,121 +45,123 @@
 )
 
 const (
-	// burstShare is the part of its target that a request may wait while no queue
-	// stands: most of what is turned away below it would have been in time.
+	// burstShare is the part of its target that a request may wait while there is no
+	// standing queue: most requests that a lower limit rejects would have been in time.
 	burstShare = 0.8
-	// lightShare is that of organisations that got less than others (shares.go).
+	// lightShare is the same for organisations that got less than others (shares.go).
 	lightShare = 1.0
-	// standingFrom is the mean wait, as a part of the target, from which on a queue
-	// stands.
-	standingFrom = 0.45
-	// standingShare is the part of its target that a request may wait while a queue
-	// stands. It is about two long prompts: enough that engines have something to read
-	// until the next ones come.
+	// standingThreshold is the mean wait, as a part of the target, above which a queue is
+	// a standing one.
+	standingThreshold = 0.45
+	// standingShare is the part of its target that a request may wait while there is a
+	// standing queue. It is about two long prompts: enough work for the engines until the
+	// next prompts arrive.
 	standingShare = 0.15
-	// memory is the time over which waits are averaged: longer than a word of the other
-	// gateways takes, and shorter than the bursts that are to be told from it.
-	memory = time.Second
-	// weightMost is the most that one request counts in that mean: a gateway that gets
-	// few must not take the first long wait for a queue that stands.
-	weightMost = 0.2
-	// growingFrom is the mean wait, as a part of the target, from which on those are
-	// turned away that will not be complete in time: at the pace of that moment their
-	// answers would end later than fitShare of the time that their callers have left.
-	growingFrom = 0.3
-	// fitShare is below one as callers' guesses of their answers are far off.
-	fitShare = 0.8
-	// seenShare is the part of standingShare that this gateway must have seen itself:
-	// what others tell may be wrong, and turns nobody away alone.
-	seenShare = 0.5
-	// seenWeight is the weight of the latest request in the waits that were seen, and
-	// seenKeep how long they count.
-	seenWeight = 0.2
-	seenKeep   = 5 * time.Second
-	// comeBackLeast and comeBackMost bound the time after which to come back, as a
-	// multiple of what is too much of the wait. Prompts come on meanwhile, and callers
-	// that come back at once would wait again.
-	comeBackLeast = 1.0
-	comeBackMost  = 2.0
-	// comeBackFirst is the shortest such time: a few steps of an engine.
-	comeBackFirst = 50 * time.Millisecond
+	// averagingWindow is the time over which waits are averaged: longer than a report of
+	// the other gateways takes, and shorter than the bursts that the mean must not smooth
+	// away.
+	averagingWindow = time.Second
+	// maxWeight is the maximum weight of one request in that mean: a gateway that gets
+	// few requests must not take the first long wait for a standing queue.
+	maxWeight = 0.2
+	// growingThreshold is the mean wait, as a part of the target, above which requests
+	// are rejected that will not be complete in time: at the current speed their answers
+	// would end later than completionShare of the time that their callers still wait.
+	growingThreshold = 0.3
+	// completionShare is below one as callers' estimates of their answers' lengths are
+	// far off.
+	completionShare = 0.8
+	// ownWaitShare is the part of standingShare that this gateway must have measured
+	// itself: reports of others may be wrong and do not suffice to reject a request.
+	ownWaitShare = 0.5
+	// ownWaitWeight is the weight of the latest request in the measured waits, and
+	// ownWaitRetention how long they are valid.
+	ownWaitWeight    = 0.2
+	ownWaitRetention = 5 * time.Second
+	// minRetryFactor and maxRetryFactor bound the time after which a caller should retry,
+	// as a multiple of the excess wait. Prompts keep arriving meanwhile, and callers that
+	// retry immediately would wait again.
+	minRetryFactor = 1.0
+	maxRetryFactor = 2.0
+	// minRetryAfter is the minimum of that time: a few engine steps.
+	minRetryAfter = 50 * time.Millisecond
 )
 
-// Ask is a request of the least urgent ones of a pool.
+// Ask is a request of the least urgent tier of a pool.
 type Ask struct {
-	// Target is the time to its first event that is still in time.
+	// Target is the time limit for its first event.
 	Target time.Duration
-	// Wait is how long it is expected to wait before it is read, at the best upstream
-	// that was found, and Pending tells the longest time that such a request of this
-	// gateway has waited until now. It is asked only where it decides.
+	// Wait is its expected wait until prefill at the best upstream that was found.
+	// Pending returns the longest time that such a request of this gateway has been
+	// waiting; it is called only if it decides.
 	Wait    time.Duration
 	Pending func() time.Duration
-	// End is how long its whole answer is expected to take from now, and Left how long
-	// its caller waits; both 0 if nothing is known of that.
+	// End is the expected time from now until its answer is complete, and Left how long
+	// its caller still waits; both are 0 if unknown.
 	End  time.Duration
 	Left time.Duration
-	// Organisation is who asks, Tokens what the engine would have to read.
+	// Organisation is the caller's organisation, Tokens the number of tokens that the
+	// engine would have to prefill.
 	Organisation uint64
 	Tokens       int
-	// Hash spreads the times after which callers come back.
+	// Hash spreads the retry times of callers.
 	Hash uint64
 }
 
-// Queue is what one gateway knows of the waits at one pool. The zero value is empty.
-// It is not safe for concurrent use.
+// Queue is what one gateway knows of the waits at one pool. The zero value is empty. It
+// is not safe for concurrent use.
 type Queue struct {
-	// mean is the mean wait that requests met, as a part of their targets.
-	mean float64
-	at   time.Time
-	// seen is the mean time to the first event.
-	seen   time.Duration
-	seenAt time.Time
-	shares shares
+	// meanWait is the mean expected wait of the requests, as a part of their targets.
+	meanWait  float64
+	updatedAt time.Time
+	// ownWait is the mean measured time to the first event.
+	ownWait   time.Duration
+	ownWaitAt time.Time
+	shares    shares
 }
 
-// Began notes that the first event of one of the least urgent requests came after the
-// time.
+// Began records the time until the first event of a request of the least urgent tier.
 func (q *Queue) Began(now time.Time, waited time.Duration) {
-	if q.seenAt.IsZero() || now.Sub(q.seenAt) > seenKeep {
-		q.seen = waited
+	if q.ownWaitAt.IsZero() || now.Sub(q.ownWaitAt) > ownWaitRetention {
+		q.ownWait = waited
 	}
-	q.seen += time.Duration(seenWeight * float64(waited-q.seen))
-	q.seenAt = now
+	q.ownWait += time.Duration(ownWaitWeight * float64(waited-q.ownWait))
+	q.ownWaitAt = now
 }
 
-// TurnAway returns the time after which the request is to come back; 0 if it may go
-// now.
+// TurnAway returns the time after which the caller should retry, or 0 if the request is
+// admitted.
 func (q *Queue) TurnAway(now time.Time, a Ask) time.Duration {
 	if a.Target <= 0 {
 		return 0
 	}
-	q.meet(now, a)
-	q.shares.ask(now, a.Organisation, a.Tokens)
-	over := max(a.Wait-part(q.share(now, a), a.Target), q.tooLong(a))
-	if over <= 0 || !q.sawWaits(now, a) {
-		q.shares.take(now, a.Organisation, a.Tokens)
+	q.observeWait(now, a)
+	q.shares.recordRequest(now, a.Organisation, a.Tokens)
+	excess := max(a.Wait-fraction(q.waitShare(now, a), a.Target), q.lateBy(a))
+	if excess <= 0 || !q.ownWaitsLong(now, a) {
+		q.shares.recordAdmitted(now, a.Organisation, a.Tokens)
 		return 0
 	}
-	spread := comeBackLeast + (comeBackMost-comeBackLeast)*rendezvous.Part(a.Hash)
-	return max(comeBackFirst, part(spread, over))
+	spread := minRetryFactor + (maxRetryFactor-minRetryFactor)*rendezvous.Part(a.Hash)
+	return max(minRetryAfter, fraction(spread, excess))
 }
 
-// tooLong is by how much the whole answer would be too late while a queue grows; 0 or
-// less if it would not.
-func (q *Queue) tooLong(a Ask) time.Duration {
-	if q.mean <= growingFrom || a.Left <= 0 {
+// lateBy is by how much the answer would be complete too late while a queue grows; 0 or
+// less if it would be in time.
+func (q *Queue) lateBy(a Ask) time.Duration {
+	if q.meanWait <= growingThreshold || a.Left <= 0 {
 		return 0
 	}
-	return a.End - part(fitShare, a.Left)
+	return a.End - fraction(completionShare, a.Left)
 }
 
-// Standing reports whether a queue stands.
-func (q *Queue) Standing() bool { return q.mean > standingFrom }
+// Standing reports whether there is a standing queue.
+func (q *Queue) Standing() bool { return q.meanWait > standingThreshold }
 
-// share is the part of its target that a request may wait.
-func (q *Queue) share(now time.Time, a Ask) float64 {
+// waitShare is the part of its target that a request may wait.
+func (q *Queue) waitShare(now time.Time, a Ask) float64 {
 	switch {
-	case !q.shares.heavy(now, a.Organisation):
+	case !q.shares.aboveLevel(now, a.Organisation):
 		return lightShare
 	case q.Standing():
 		return standingShare
@@ -168,26 +170,26 @@
 	}
 }
 
-// meet takes the wait that a request meets into the mean.
-func (q *Queue) meet(now time.Time, a Ask) {
+// observeWait adds the expected wait of a request to the mean.
+func (q *Queue) observeWait(now time.Time, a Ask) {
 	wait := min(1, float64(a.Wait)/float64(a.Target))
-	if q.at.IsZero() {
-		q.at = now
+	if q.updatedAt.IsZero() {
+		q.updatedAt = now
 	}
-	weight := min(weightMost, float64(now.Sub(q.at))/float64(memory))
-	q.mean += weight * (wait - q.mean)
-	q.at = now
+	weight := min(maxWeight, float64(now.Sub(q.updatedAt))/float64(averagingWindow))
+	q.meanWait += weight * (wait - q.meanWait)
+	q.updatedAt = now
 }
 
-// sawWaits reports whether such requests of this gateway wait long enough for their
-// first event, by those that had it lately or by those that wait for it.
-func (q *Queue) sawWaits(now time.Time, a Ask) bool {
-	enough := part(seenShare*standingShare, a.Target)
-	recent := !q.seenAt.IsZero() && now.Sub(q.seenAt) <= seenKeep
-	return (recent && q.seen >= enough) || a.Pending() >= enough
+// ownWaitsLong reports whether such requests of this gateway wait long for their first
+// event, judged by those that had it recently or those that still wait for it.
+func (q *Queue) ownWaitsLong(now time.Time, a Ask) bool {
+	enough := fraction(ownWaitShare*standingShare, a.Target)
+	recent := !q.ownWaitAt.IsZero() && now.Sub(q.ownWaitAt) <= ownWaitRetention
+	return (recent && q.ownWait >= enough) || a.Pending() >= enough
 }
 
-// part returns a part of a time.
-func part(share float64, d time.Duration) time.Duration {
+// fraction returns a part of a duration.
+func fraction(share float64, d time.Duration) time.Duration {
 	return time.Duration(share * float64(d))
 }
--- a/internal/core/overload/overload_test.go
+++ b/internal/core/overload/overload_test.go
@@ -11,60 +11,61 @@
 
 func at(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 
-// ask is a request with a target of a second.
-func ask(wait, pending time.Duration) Ask {
+// request has a target of a second.
+func request(wait, pending time.Duration) Ask {
 	return Ask{Target: time.Second, Wait: wait, Pending: func() time.Duration { return pending }, Tokens: 1000}
 }
 
-// long is one whose answer takes the time, for a caller that waits for four seconds.
-func long(end time.Duration) Ask {
-	a := ask(420*time.Millisecond, time.Second)
+// longRequest has an answer that takes the given time, and a caller that waits for four
+// seconds.
+func longRequest(end time.Duration) Ask {
+	a := request(420*time.Millisecond, time.Second)
 	a.End, a.Left = end, 4*time.Second
 	return a
 }
 
-// A wait is taken while it is short, a longer one only while no queue stands, and none
-// by the word of others alone.
-func TestTurnAway(t *testing.T) {
+// A request is admitted if its wait is short, or a longer one if there is no standing
+// queue; reports of others alone never reject it.
+func TestAdmission(t *testing.T) {
 	const ms = time.Millisecond
 	tests := []struct {
 		name string
-		// met are the waits of earlier requests, one each 100 ms.
-		met []time.Duration
-		ask Ask
-		// seen is the wait of one that was read before.
-		seen time.Duration
-		away bool
+		// earlier are the waits of previous requests, one every 100 ms.
+		earlier []time.Duration
+		request Ask
+		// ownWait is the measured wait of a previous request.
+		ownWait time.Duration
+		reject  bool
 	}{
-		{name: "no wait", ask: ask(0, time.Second)},
-		{name: "a wait in a burst", ask: ask(700*ms, time.Second)},
-		{name: "a long wait in a burst", ask: ask(1050*ms, time.Second), away: true},
-		{name: "the same, by one that was read", ask: ask(1050*ms, 0), seen: 300 * ms, away: true},
-		{name: "by the word of others alone", ask: ask(time.Minute, 0)},
-		{name: "a standing queue", met: repeat(20, 800*ms), ask: ask(400*ms, time.Second), away: true},
-		{name: "a short wait in a standing queue", met: repeat(20, 800*ms), ask: ask(140*ms, time.Second)},
-		{name: "short waits", met: repeat(10, 100*ms), ask: ask(700*ms, time.Second)},
-		{name: "a queue that is gone", met: append(repeat(20, 800*ms), repeat(20, 0)...), ask: ask(700*ms, time.Second)},
-		{name: "the first one in a while meets a long wait", met: []time.Duration{0, 0, 900 * ms}, ask: ask(700*ms, time.Second)},
-		{name: "one long wait", met: append(repeat(20, 0), 2*time.Second), ask: ask(700*ms, time.Second)},
-		{name: "a long answer while a queue grows", met: repeat(20, 420*ms), ask: long(3300 * ms), away: true},
-		{name: "a short answer while a queue grows", met: repeat(20, 420*ms), ask: long(3100 * ms)},
-		{name: "a long answer in a burst", ask: long(9 * time.Second)},
-		{name: "no target", ask: Ask{Wait: time.Minute, Pending: func() time.Duration { return time.Minute }}},
+		{name: "no wait", request: request(0, time.Second)},
+		{name: "a wait in a burst", request: request(700*ms, time.Second)},
+		{name: "a long wait in a burst", request: request(1050*ms, time.Second), reject: true},
+		{name: "the same, by a measured wait", request: request(1050*ms, 0), ownWait: 300 * ms, reject: true},
+		{name: "by reports of others alone", request: request(time.Minute, 0)},
+		{name: "a standing queue", earlier: repeat(20, 800*ms), request: request(400*ms, time.Second), reject: true},
+		{name: "a short wait in a standing queue", earlier: repeat(20, 800*ms), request: request(140*ms, time.Second)},
+		{name: "short waits", earlier: repeat(10, 100*ms), request: request(700*ms, time.Second)},
+		{name: "a queue that has drained", earlier: append(repeat(20, 800*ms), repeat(20, 0)...), request: request(700*ms, time.Second)},
+		{name: "a long wait after an idle time", earlier: []time.Duration{0, 0, 900 * ms}, request: request(700*ms, time.Second)},
+		{name: "one long wait", earlier: append(repeat(20, 0), 2*time.Second), request: request(700*ms, time.Second)},
+		{name: "a long answer while a queue grows", earlier: repeat(20, 420*ms), request: longRequest(3300 * ms), reject: true},
+		{name: "a short answer while a queue grows", earlier: repeat(20, 420*ms), request: longRequest(3100 * ms)},
+		{name: "a long answer in a burst", request: longRequest(9 * time.Second)},
+		{name: "no target", request: Ask{Wait: time.Minute, Pending: func() time.Duration { return time.Minute }}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			var q Queue
 			now := t0
-			for _, wait := range tt.met {
+			for _, wait := range tt.earlier {
 				now = now.Add(100 * ms)
-				q.TurnAway(now, ask(wait, 0))
+				q.TurnAway(now, request(wait, 0))
 			}
-			if tt.seen > 0 {
-				q.Began(now, tt.seen)
+			if tt.ownWait > 0 {
+				q.Began(now, tt.ownWait)
 			}
-			is.Equal(q.TurnAway(now.Add(100*ms), tt.ask) > 0, tt.away)
+			is.Equal(q.TurnAway(now.Add(100*ms), tt.request) > 0, tt.reject)
 		})
 	}
 }
@@ -77,28 +78,28 @@
 	return list
 }
 
-// Callers come back spread over the time after which there is room, and not at once.
-func TestComeBackIsSpread(t *testing.T) {
+// Retry times are spread over a range and never immediate.
+func TestRetryTimesAreSpread(t *testing.T) {
 	is := is.New(t)
-	seen := make(map[time.Duration]bool)
+	distinct := make(map[time.Duration]bool)
 	for i := range uint64(100) {
 		var q Queue
-		a := ask(2000*time.Millisecond, 2*time.Second)
+		a := request(2000*time.Millisecond, 2*time.Second)
 		a.Hash = 7919 * i
 		d := q.TurnAway(t0, a)
 		is.True(d >= time.Second && d <= 2*time.Second)
-		seen[d] = true
+		distinct[d] = true
 	}
-	is.True(len(seen) > 50)
+	is.True(len(distinct) > 50)
 	var q Queue
-	is.True(q.TurnAway(t0, ask(1001*time.Millisecond, time.Second)) >= comeBackFirst)
+	is.True(q.TurnAway(t0, request(1001*time.Millisecond, time.Second)) >= minRetryAfter)
 }
 
-// What was seen long ago says nothing.
-func TestOldWaitsAreForgotten(t *testing.T) {
+// Old measurements are ignored.
+func TestOldWaitsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	var q Queue
 	q.Began(t0, time.Second)
-	is.True(q.TurnAway(at(4900), ask(time.Minute, 0)) > 0)
-	is.Equal(q.TurnAway(at(5100), ask(time.Minute, 0)), time.Duration(0))
+	is.True(q.TurnAway(at(4900), request(time.Minute, 0)) > 0)
+	is.Equal(q.TurnAway(at(5100), request(time.Minute, 0)), time.Duration(0))
 }
--- a/internal/core/overload/shares.go
+++ b/internal/core/overload/shares.go
@@ -6,99 +6,100 @@
 	"time"
 )
 
-// The load that this answers: one organisation sends many times its usual. If all
-// that wait alike are turned away alike, those who send little lose as large a part
-// as the one that fills the queue.
+// Without fair shares, an organisation that sends many times its usual load harms all
+// others: if requests with equal waits are rejected alike, organisations that send little
+// lose as large a part as the one that fills the queue.
 //
-// So the organisations share what is taken by max-min fairness: nobody gets more than
-// a common level while another one with less is turned away. Those below the level
-// may wait for their whole target. What counts is the tokens that engines have to read,
-// of every request that comes, also of one that comes back.
+// So the admitted load is shared by max-min fairness: no organisation gets more than a
+// common level while another one with less is rejected. Organisations below the level may
+// wait for their whole target. The load is measured in tokens to prefill, of every
+// request that arrives, including retries.
 
 const (
-	// shareHalfLife is the time after which what an organisation asked for counts half:
-	// about as long as a queue takes to go away.
+	// shareHalfLife is the half-life of recorded load: about as long as a queue takes to
+	// drain.
 	shareHalfLife = 2 * time.Second
-	// levelEvery is how often the common level is worked out.
-	levelEvery = 100 * time.Millisecond
-	// heavyFactor is the multiple of the level up to which an organisation counts as
-	// below it: one that is alone is always at its level.
-	heavyFactor = 0.9
-	// leastUse is the use, in tokens, below which an organisation is forgotten.
-	leastUse = 1.0
+	// levelInterval is how often the common level is recomputed.
+	levelInterval = 100 * time.Millisecond
+	// levelTolerance is the multiple of the level up to which an organisation counts as
+	// below it: a single organisation is always at its level.
+	levelTolerance = 0.9
+	// minUsage is the load, in tokens, below which an organisation is dropped.
+	minUsage = 1.0
 )
 
-// fading is a sum that counts half after each half-life.
-type fading struct {
+// decayingSum is a sum that decays exponentially.
+type decayingSum struct {
 	sum float64
 	at  time.Time
 }
 
-// value is the sum now.
-func (f fading) value(now time.Time) float64 {
+// value is the sum at the given time.
+func (f decayingSum) value(now time.Time) float64 {
 	return f.sum * math.Exp2(-float64(now.Sub(f.at))/float64(shareHalfLife))
 }
 
-// with returns the sum with some more.
-func (f fading) with(now time.Time, more float64) fading {
-	return fading{sum: f.value(now) + more, at: now}
+// with returns the sum with an amount added.
+func (f decayingSum) with(now time.Time, more float64) decayingSum {
+	return decayingSum{sum: f.value(now) + more, at: now}
 }
 
-// use is what one organisation asked for, and what was taken of that.
-type use struct {
-	asked fading
-	taken fading
+// usage is the requested and the admitted load of one organisation.
+type usage struct {
+	requested decayingSum
+	admitted  decayingSum
 }
 
-// shares is the use of all organisations. The zero value is empty.
+// shares is the usage of all organisations. The zero value is empty.
 type shares struct {
-	uses    map[uint64]use
-	level   float64
-	levelAt time.Time
+	byOrganisation map[uint64]usage
+	level          float64
+	levelAt        time.Time
 }
 
-// ask notes that an organisation asks for so many tokens.
-func (s *shares) ask(now time.Time, organisation uint64, tokens int) {
-	if s.uses == nil {
-		s.uses = make(map[uint64]use)
+// recordRequest records a request of so many tokens.
+func (s *shares) recordRequest(now time.Time, organisation uint64, tokens int) {
+	if s.byOrganisation == nil {
+		s.byOrganisation = make(map[uint64]usage)
 	}
-	u := s.uses[organisation]
-	u.asked = u.asked.with(now, float64(tokens))
-	s.uses[organisation] = u
+	u := s.byOrganisation[organisation]
+	u.requested = u.requested.with(now, float64(tokens))
+	s.byOrganisation[organisation] = u
 }
 
-// take notes that the tokens were taken.
-func (s *shares) take(now time.Time, organisation uint64, tokens int) {
-	u := s.uses[organisation]
-	u.taken = u.taken.with(now, float64(tokens))
-	s.uses[organisation] = u
+// recordAdmitted records that a request of so many tokens was admitted.
+func (s *shares) recordAdmitted(now time.Time, organisation uint64, tokens int) {
+	u := s.byOrganisation[organisation]
+	u.admitted = u.admitted.with(now, float64(tokens))
+	s.byOrganisation[organisation] = u
 }
 
-// heavy reports whether the organisation got more than the common level.
-func (s *shares) heavy(now time.Time, organisation uint64) bool {
-	if s.levelAt.IsZero() || now.Sub(s.levelAt) >= levelEvery {
-		s.level, s.levelAt = s.workOut(now), now
+// aboveLevel reports whether the organisation got more than the common level.
+func (s *shares) aboveLevel(now time.Time, organisation uint64) bool {
+	if s.levelAt.IsZero() || now.Sub(s.levelAt) >= levelInterval {
+		s.level, s.levelAt = s.computeLevel(now), now
 	}
-	return s.uses[organisation].taken.value(now) > heavyFactor*s.level
+	return s.byOrganisation[organisation].admitted.value(now) > levelTolerance*s.level
 }
 
-// workOut returns the level up to which all organisations together asked for as much as
-// was taken. It forgets those that ask for nothing any more.
-func (s *shares) workOut(now time.Time) float64 {
-	asked := make([]float64, 0, len(s.uses))
+// computeLevel returns the level at which the organisations' requested load, capped at
+// the level, adds up to the admitted load. It drops organisations that no longer send
+// requests.
+func (s *shares) computeLevel(now time.Time) float64 {
+	requested := make([]float64, 0, len(s.byOrganisation))
 	left := 0.0
-	for organisation, u := range s.uses {
-		value := u.asked.value(now)
-		if value < leastUse {
-			delete(s.uses, organisation)
+	for organisation, u := range s.byOrganisation {
+		value := u.requested.value(now)
+		if value < minUsage {
+			delete(s.byOrganisation, organisation)
 			continue
 		}
-		asked = append(asked, value)
-		left += u.taken.value(now)
+		requested = append(requested, value)
+		left += u.admitted.value(now)
 	}
-	slices.Sort(asked)
-	for i, value := range asked {
-		rest := float64(len(asked) - i)
+	slices.Sort(requested)
+	for i, value := range requested {
+		rest := float64(len(requested) - i)
 		if value*rest >= left {
 			return left / rest
 		}
--- a/internal/core/warmup/warmup.go
+++ b/internal/core/warmup/warmup.go
@@ -1,14 +1,14 @@
-// Package warmup bounds what an upstream gets while it is cold.
+// Package warmup limits the requests to an upstream while it is cold.
 //
-// An upstream that has just started, or has lost what it had warmed up, bears only
-// some requests a second and falls over when it gets far more, from whomever. So only a
-// few gateways, its holders, send anything there, each at its pace (package quota).
+// An upstream that has just started, or has lost its caches, handles only a few requests
+// per second and fails when it gets far more in total. So only a few gateways, its
+// holders, send requests to it, each at a limited rate (package quota).
 //
 // # The bound
 //
-// In any second one holder sends at most one request and those that its pace adds. Split
-// leaves room for as many holders again, if the upstream bears three requests in a second
-// or more: a whole second set, as in a fleet whose halves have never heard of each other.
+// In any second a holder sends at most one request plus those that its rate adds. If the
+// upstream tolerates three requests per second or more, Split leaves room for a second
+// full set of holders, as in a fleet whose halves have never heard of each other.
 //
 // # Usage
 //
@@ -26,39 +26,39 @@
 )
 
 const (
-	// holdersMost is the number of holders of a cold upstream at most. With one
-	// alone, its capacity is lost whenever that gateway gets few requests or has
-	// died; each one more costs a request of the bound.
-	holdersMost = 3
-	// usedShare is the part of the rate that a cold upstream handles that is used. The
-	// rest makes room for a second holder where there are two sets of them.
+	// maxHolders is the maximum number of holders of a cold upstream. With a single one,
+	// its capacity is lost whenever that gateway gets few requests or has died; each
+	// additional one uses up one request of the bound.
+	maxHolders = 3
+	// usedShare is the part of a cold upstream's rate that is used. The rest leaves room
+	// for a second holder where there are two sets of them.
 	usedShare = 0.75
-	// views is the number of disjoint sets of holders that the bound has room for.
-	views = 2
+	// holderSets is the number of disjoint sets of holders that the bound has room for.
+	holderSets = 2
 )
 
-// Bounds are what the operators say of the cold upstreams of a pool.
+// Bounds are the configured limits for the cold upstreams of a pool.
 type Bounds struct {
-	// PerSecond is the number of requests that one handles in a second; 0 if it
-	// bears as many as a warm one.
+	// PerSecond is the number of requests per second that a cold upstream handles; 0 if
+	// it handles as many as a warm one.
 	PerSecond float64
-	// Most is the number of arrivals in any one second beyond which it falls over.
+	// Most is the maximum number of arrivals in any one second; with more it fails.
 	Most float64
 	// For is how long an upstream is cold after its start.
 	For time.Duration
 }
 
-// Split is how a cold upstream is shared out.
+// Split divides the rate of a cold upstream among its holders.
 type Split struct {
-	// Holders is the number of gateways that may send it anything; 0 if none may.
+	// Holders is the number of gateways that may send requests to it; 0 if none may.
 	Holders int
-	// Every is the least time between two requests of one holder.
+	// Every is the minimum interval between two requests of one holder.
 	Every time.Duration
 }
 
 // SplitOf returns the split that keeps the bounds.
 func SplitOf(b Bounds) Split {
-	policy := quota.Policy{Used: usedShare, Views: views, Holders: holdersMost}
+	policy := quota.Policy{Used: usedShare, Views: holderSets, Holders: maxHolders}
 	split := policy.Divide(quota.Bound{Rate: b.PerSecond, Most: b.Most, Window: time.Second})
 	if split.Holders == 0 {
 		return Split{}
@@ -68,27 +68,27 @@
 
 // State is what one gateway knows of one upstream. The zero value is warm.
 type State struct {
-	until time.Time
-	next  time.Time
+	coldUntil  time.Time
+	nextSendAt time.Time
 }
 
-// With returns the state of an upstream that is cold until then at least. No word
-// makes it warm earlier than another one did.
-func (s State) With(until time.Time) State {
-	if until.After(s.until) {
-		s.until = until
+// With returns the state of an upstream that is cold at least until the given time. It
+// never shortens the cold period.
+func (s State) With(coldUntil time.Time) State {
+	if coldUntil.After(s.coldUntil) {
+		s.coldUntil = coldUntil
 	}
 	return s
 }
 
 // Cold reports whether the upstream is cold.
-func (s State) Cold(now time.Time) bool { return now.Before(s.until) }
+func (s State) Cold(now time.Time) bool { return now.Before(s.coldUntil) }
 
-// Free reports whether a holder's pace lets it send a request.
-func (s State) Free(now time.Time) bool { return !now.Before(s.next) }
+// Free reports whether a holder may send a request now.
+func (s State) Free(now time.Time) bool { return !now.Before(s.nextSendAt) }
 
 // Sent returns the state after a holder sent a request.
 func (s State) Sent(now time.Time, split Split) State {
-	s.next = now.Add(split.Every)
+	s.nextSendAt = now.Add(split.Every)
 	return s
 }
--- a/internal/core/warmup/warmup_test.go
+++ b/internal/core/warmup/warmup_test.go
@@ -13,7 +13,7 @@
 
 var t0 = time.Unix(1000, 0)
 
-// bounds of pools, as operators set them.
+// bounds are typical limits of pools.
 var bounds = []warmup.Bounds{
 	{PerSecond: 13, Most: 13*1.5 + 5},
 	{PerSecond: 13, Most: 13},
@@ -24,8 +24,8 @@
 	{PerSecond: 200, Most: 200*1.5 + 10},
 }
 
-// A split stays within the bound for one set of holders, and for two where there is
-// room; it uses most of what a cold upstream handles, and at least something.
+// A split stays within the bound for one set of holders, and for two sets where there is
+// room; it uses most of a cold upstream's rate, and at least some of it.
 func TestSplit(t *testing.T) {
 	is := is.New(t)
 	for _, b := range bounds {
@@ -38,10 +38,10 @@
 			is.True(2*(float64(s.Holders)+rate) <= b.Most+1e-6)
 		}
 	}
-	is.Equal(warmup.SplitOf(warmup.Bounds{PerSecond: 0.5, Most: 0.9}), warmup.Split{}) // not one at a time
+	is.Equal(warmup.SplitOf(warmup.Bounds{PerSecond: 0.5, Most: 0.9}), warmup.Split{}) // not even one request fits
 }
 
-// No word makes an upstream warm earlier than another one did.
+// An earlier end never shortens the cold period.
 func TestColdIsNotCutShort(t *testing.T) {
 	is := is.New(t)
 	s := warmup.State{}.With(t0.Add(3 * time.Second)).With(t0.Add(time.Second)).With(time.Time{})
@@ -49,8 +49,8 @@
 	is.True(!s.Cold(t0.Add(3 * time.Second)))
 }
 
-// gateways returns n that know each other where they meet, after so many seconds.
-func gateways(n int, meet func(a, b int) bool) []*fleet.Fleet {
+// gateways returns n gateways, of which each knows those for which knows is true.
+func gateways(n int, knows func(a, b int) bool) []*fleet.Fleet {
 	list := make([]*fleet.Fleet, n)
 	seeds := []string{"10.0.0.0:1", "10.0.0.1:1", "10.0.0.2:1"}
 	for i := range list {
@@ -59,7 +59,7 @@
 	}
 	for i, f := range list {
 		for j, other := range list {
-			if i != j && meet(i, j) {
+			if i != j && knows(i, j) {
 				f.Merge(t0, other.Share(t0, 1, uint64(i))[:1])
 			}
 		}
@@ -67,36 +67,36 @@
 	return list
 }
 
-// However many gateways have something to send, a cold upstream gets no more in any
-// second than it bears, from all of them together.
+// A cold upstream never gets more requests per second than it tolerates, from all
+// gateways together, however many have something to send.
 func TestArrivalsAtAColdUpstream(t *testing.T) {
 	all := func(int, int) bool { return true }
 	none := func(int, int) bool { return false }
 	halves := func(a, b int) bool { return a%2 == b%2 }
 	tests := []struct {
-		name string
-		n    int
-		meet func(a, b int) bool
-		// after is the time since the gateways met.
+		name  string
+		n     int
+		knows func(a, b int) bool
+		// after is the time since the gateways learned of each other.
 		after time.Duration
-		// least is the part of what it handles that is used at least.
+		// least is the minimum used share of the upstream's rate.
 		least float64
 	}{
 		{"one gateway and its seeds", 1, all, time.Minute, 0},
 		{"few", 3, all, 10 * time.Second, 0.5},
 		{"many", 31, all, 10 * time.Second, 0.5},
 		{"a hundred", 100, all, 10 * time.Second, 0.5},
-		{"halves that have never met", 30, halves, 10 * time.Second, 0.5},
+		{"halves that do not know each other", 30, halves, 10 * time.Second, 0.5},
 		{"cut off from each other for a minute", 31, all, time.Minute, 0.5},
 		{"all have just started", 31, all, time.Second, 0},
-		{"nobody has heard of anybody", 31, none, time.Minute, 0},
+		{"no gateway knows another", 31, none, time.Minute, 0},
 	}
 	for _, tt := range tests {
 		for _, b := range bounds[:4] {
 			t.Run(fmt.Sprintf("%s/%v", tt.name, b.PerSecond), func(t *testing.T) {
 				is := is.New(t)
 				for key := range uint64(5) {
-					arrivals := flood(gateways(tt.n, tt.meet), t0.Add(tt.after), key*7919, b)
+					arrivals := flood(gateways(tt.n, tt.knows), t0.Add(tt.after), key*7919, b)
 					is.True(float64(busiestSecond(arrivals)) <= b.Most)
 					is.True(float64(len(arrivals)) >= tt.least*3*min(b.PerSecond, b.Most/2-1))
 				}
@@ -105,7 +105,8 @@
 	}
 }
 
-// flood lets every gateway send whenever it may, for three seconds.
+// flood lets every gateway send whenever it may for three seconds, and returns the
+// arrivals.
 func flood(list []*fleet.Fleet, from time.Time, key uint64, b warmup.Bounds) []time.Time {
 	split := warmup.SplitOf(b)
 	states := make([]warmup.State, len(list))
@@ -126,7 +127,7 @@
 	return arrivals
 }
 
-// busiestSecond returns the most arrivals within a second.
+// busiestSecond returns the maximum number of arrivals within a second.
 func busiestSecond(arrivals []time.Time) int {
 	most, first := 0, 0
 	for i, at := range arrivals {
