--- a/internal/core/balance/replay_shifted_test.go
+++ b/internal/core/balance/replay_overload_test.go
@@ -10,9 +10,10 @@
 	"github.com/gladegauge/gladegauge/internal/core/occupancy"
 )
 
-// The kinds of request of a counter whose work has shifted: small events, and checks
-// that must be complete in four seconds. Checks, then notes, then chats burst.
-func shiftedClasses(scale float64) []replayClass {
+// burstyClasses are the requests of a workload with small events, and checks that must be
+// complete within four seconds. Bursts of checks, then notes, then chats follow each
+// other.
+func burstyClasses(scale float64) []replayClass {
 	return []replayClass{
 		{name: "check", tier: 2, target: 1500 * time.Millisecond, perS: 3.4 * scale, shared: []replayPart{{2520, 4}, {3780, 628}}, own: 2890, output: 52, spread: 1.1, patient: 4 * time.Second,
 			burst: 2.76, burstAt: 0.5, burstFor: 9, more: []replayBurst{{2.4, 16, 2}}},
@@ -23,45 +24,48 @@
 	}
 }
 
-// newAdmittingReplay returns a replay of engines that are alike and admit prompts by their
+// newAdmittingReplay returns a replay of identical engines that admit prompts by their
 // memory.
 func newAdmittingReplay(gateways, engines int, classes []replayClass) *replay {
 	r := newReplay(gateways, engines, 100*time.Millisecond, 60*time.Millisecond, classes)
-	r.admits, r.eventTokens = true, 9
+	r.admitsByMemory, r.eventTokens = true, 9
 	for _, e := range r.order {
 		e.speed = 1
 	}
 	return r
 }
 
-// More than fits, for many seconds, with a fifth of the engines gone: engines admit
-// prompts while their memory lasts and read them in turn, and callers leave at their
-// deadline. The floors lie above what was reached when only waits of more than a whole
-// target were turned away and prompts compared nearly twice as many engines.
+// More load than the pool can handle for many seconds, with a fifth of the engines
+// crashed: engines admit prompts while their memory lasts and prefill them in turn, and
+// callers give up at their deadline.
+//
+// The minimum shares lie above what was reached when only waits longer than the whole
+// target were rejected and prompts compared nearly twice as many engines. The comment on
+// each case gives those shares of checks, notes and chats.
 func TestReplaysOfOverload(t *testing.T) {
 	tests := []struct {
 		name  string
 		scale float64
-		// The least shares in time.
+		// check, note and chat are the minimum shares in time.
 		check, note, chat float64
-		// refused is the most of the checks that may be turned away.
+		// refused is the maximum share of checks that may be rejected.
 		refused float64
 	}{
-		// Before: 0.957, 0.916, 0.981; none turned away.
+		// 0.957, 0.916, 0.981; none rejected.
 		{name: "it fits", scale: 0.7, check: 0.90, note: 0.90, chat: 0.96, refused: 0.05},
-		// Before: 0.561, 0.513, 0.816.
+		// 0.561, 0.513, 0.816.
 		{name: "more than fits", scale: 1, check: 0.62, note: 0.70, chat: 0.93, refused: 0.27},
-		// Before: 0.440, 0.509, 0.703.
+		// 0.440, 0.509, 0.703.
 		{name: "far more than fits", scale: 1.15, check: 0.48, note: 0.60, chat: 0.88, refused: 0.40},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			r := newAdmittingReplay(31, 56, shiftedClasses(tt.scale))
+			r := newAdmittingReplay(31, 56, burstyClasses(tt.scale))
 			r.crash(6, 0.21)
 			r.run(19)
 			r.report(t)
-			t.Logf("read for answers that were cut: %d k tokens", r.cutTokens/1000)
+			t.Logf("prefilled for abandoned answers: %d k tokens", r.abandonedTokens/1000)
 			is.True(r.share("check", inTime) >= tt.check)
 			is.True(r.share("note", inTime) >= tt.note)
 			is.True(r.share("chat", inTime) >= tt.chat)
@@ -70,30 +74,30 @@
 	}
 }
 
-// The same load, by words as old as those of gateways in availability zones of a size. The
-// floors lie above what is reached with one relay for the whole zone, and do not fall with
-// its size.
+// The same load, with load reports as old as those in availability zones of a given size.
+// The minimum shares lie above what is reached with one relay for the whole zone, and do
+// not fall as the zone grows. The comments on the cases give the shares with one relay.
 func TestReplaysOfOverloadAtSize(t *testing.T) {
 	tests := []struct {
 		name string
 		// zone is the number of gateways in an availability zone.
 		zone  int
 		scale float64
-		// The least shares in time.
+		// check, note and chat are the minimum shares in time.
 		check, note, chat float64
 	}{
-		// One relay: 0.54, 0.45, 0.78.
+		// 0.54, 0.45, 0.78.
 		{name: "more than fits", zone: 76, scale: 1, check: 0.58, note: 0.50, chat: 0.84},
 		{name: "more than fits, at twice the size", zone: 160, scale: 1, check: 0.58, note: 0.50, chat: 0.84},
-		// One relay: 0.43, 0.39, 0.52.
+		// 0.43, 0.39, 0.52.
 		{name: "far more than fits", zone: 76, scale: 1.15, check: 0.47, note: 0.48, chat: 0.74},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			pace := occupancy.PaceOf(tt.zone, fleet.CellMost, true)
-			r := newAdmittingReplay(31, 56, shiftedClasses(tt.scale))
-			r.every, r.lag = pace.Members, pace.Age()-pace.Members/2
+			r := newAdmittingReplay(31, 56, burstyClasses(tt.scale))
+			r.reportInterval, r.reportDelay = pace.Members, pace.Age()-pace.Members/2
 			r.crash(6, 0.21)
 			r.run(19)
 			r.report(t)
--- a/internal/core/balance/replay_service_test.go
+++ b/internal/core/balance/replay_service_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// Figures of the replicas of a plain service in a replay.
+// Parameters of the simulated replicas of a plain service.
 const (
 	serviceSlots  = 6
 	serviceWorkMs = 30.0
@@ -16,16 +16,18 @@
 	serviceTarget = 150 * time.Millisecond
 )
 
-// replayReplica plays a replica of a plain service: so many slots, and a queue.
+// replayReplica simulates a replica of a plain service with a number of slots and a
+// queue.
 type replayReplica struct {
 	running int
 	queue   []func()
 }
 
-// lateService plays requests of a plain service at so many gateways, whose words are
-// so old, and returns the share that is answered late.
-func lateService(gateways, replicas int, perS float64, every, lag time.Duration) float64 {
-	r := newReplay(gateways, replicas, every, lag, nil)
+// lateService simulates requests to a plain service at so many gateways, with reports
+// sent at the interval and received after the delay, and returns the share that is
+// answered late.
+func lateService(gateways, replicas int, perS float64, reportInterval, reportDelay time.Duration) float64 {
+	r := newReplay(gateways, replicas, reportInterval, reportDelay, nil)
 	nodes := make(map[string]*replayReplica)
 	for _, in := range r.listed {
 		nodes[in.ID] = &replayReplica{}
@@ -43,7 +45,7 @@
 	var arrive func()
 	arrive = func() {
 		g := r.gateways[r.rng.IntN(gateways)]
-		came := r.now
+		arrivedAt := r.now
 		c, _ := g.table.Pick(r.now, Request{Pool: "p", Route: "read", Hash: r.rng.Uint64(), Target: serviceTarget})
 		node := nodes[c.ID]
 		work := serviceWorkMs * math.Exp(serviceSpread*r.rng.NormFloat64()-serviceSpread*serviceSpread/2)
@@ -53,7 +55,7 @@
 				node.running--
 				g.table.Ended(r.now, c, Completed, Answer{})
 				n++
-				if r.now.Sub(came) > serviceTarget {
+				if r.now.Sub(arrivedAt) > serviceTarget {
 					late++
 				}
 				if len(node.queue) > 0 {
@@ -77,26 +79,26 @@
 	return float64(late) / float64(n)
 }
 
-// Many gateways that choose among few replicas by an old picture do not all choose the
-// same one.
+// Many gateways that choose among few replicas by stale load reports do not all choose
+// the same one.
 func TestReplaysOfServices(t *testing.T) {
 	tests := []struct {
-		name               string
-		gateways, replicas int
-		perS               float64
-		every, lag         time.Duration
-		late               float64
+		name                        string
+		gateways, replicas          int
+		perS                        float64
+		reportInterval, reportDelay time.Duration
+		late                        float64
 	}{
-		// All compared: 0.099.
+		// 0.099 if all replicas are compared.
 		{"a burst at many gateways", 103, 6, 735, 200 * time.Millisecond, 100 * time.Millisecond, 0.01},
-		// The same: 0.143.
-		{"an older picture", 103, 6, 735, 600 * time.Millisecond, 300 * time.Millisecond, 0.01},
+		// 0.143 if all replicas are compared.
+		{"a staler load report", 103, 6, 735, 600 * time.Millisecond, 300 * time.Millisecond, 0.01},
 		{"a usual load at many gateways", 103, 6, 410, 200 * time.Millisecond, 100 * time.Millisecond, 0.01},
 		{"a burst at few gateways", 3, 3, 360, 100 * time.Millisecond, 2 * time.Millisecond, 0.01},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			late := lateService(tt.gateways, tt.replicas, tt.perS, tt.every, tt.lag)
+			late := lateService(tt.gateways, tt.replicas, tt.perS, tt.reportInterval, tt.reportDelay)
 			t.Logf("late %.3f", late)
 			is.New(t).True(late <= tt.late)
 		})
--- a/internal/core/balance/replay_world_test.go
+++ b/internal/core/balance/replay_simulation_test.go
@@ -12,93 +12,95 @@
 	"github.com/gladegauge/gladegauge/internal/core/occupancy"
 )
 
-// replayResult is what became of a request.
+// replayResult is the outcome of a request.
 type replayResult int
 
 const (
 	inTime replayResult = iota
 	lateResult
 	pausedResult
-	lostResult
+	failedResult
 	refusedResult
-	goneResult
+	abandonedResult
 )
 
 // replayRequest is a caller's request.
 type replayRequest struct {
-	class   *replayClass
-	gateway *replayGateway
-	prompt  Prompt
-	output  int
-	came    time.Time
-	began   time.Time
-	tried   []string
-	// cameBack is true once it was turned away.
-	cameBack bool
+	class     *replayClass
+	gateway   *replayGateway
+	prompt    Prompt
+	output    int
+	arrivedAt time.Time
+	began     time.Time
+	tried     []string
+	// retried is true once the request was rejected and the caller retried.
+	retried bool
 }
 
-// replayGateway is one gateway: the real table, and what it told last.
+// replayGateway is one gateway: the real table, and the loads that it last reported.
 type replayGateway struct {
 	table *Table
 	loads occupancy.Loads
-	// heardNews is the number of news that it has.
-	heardNews int
+	// receivedParts is the number of entries of cachedParts that it has received.
+	receivedParts int
 }
 
-// replay plays a load in virtual time: real tables, engines by their figures, and
-// words between gateways of a set age.
+// replay is a discrete-event simulation of a load in virtual time: gateways with real
+// tables, simulated engines, and load reports of a given age.
 type replay struct {
-	now      time.Time
-	rng      *rand.Rand
-	agenda   agenda
-	engines  map[string]*replayEngine
-	order    []*replayEngine
-	gateways []*replayGateway
-	classes  []replayClass
-	// every is the time between two words of a gateway.
-	every time.Duration
-	// lag is how much older they are on arrival.
-	lag       time.Duration
-	total     occupancy.Loads
-	news      []occupancy.Part
-	newsBy    []int
-	results   map[string]map[replayResult]int
-	readAgain int
-	// refusals is the number of connections to engines that were gone.
+	now        time.Time
+	rng        *rand.Rand
+	eventQueue eventQueue
+	engines    map[string]*replayEngine
+	order      []*replayEngine
+	gateways   []*replayGateway
+	classes    []replayClass
+	// reportInterval is the time between two load reports of a gateway.
+	reportInterval time.Duration
+	// reportDelay is the age of a report on arrival.
+	reportDelay   time.Duration
+	total         occupancy.Loads
+	cachedParts   []occupancy.Part
+	cachedPartsBy []int
+	results       map[string]map[replayResult]int
+	readAgain     int
+	// refusals is the number of refused connections to crashed engines.
 	refusals int
-	// admits makes engines admit prompts while their memory lasts, and read the
-	// admitted ones in turn, whatever their rank; and callers leave at their deadline.
-	admits bool
-	// eventTokens is the size of an event of a stream.
+	// admitsByMemory makes engines admit prompts while their memory lasts and prefill the
+	// admitted ones in order of admission, whatever their tier; callers give up at their
+	// deadline.
+	admitsByMemory bool
+	// eventTokens is the number of tokens per stream event.
 	eventTokens int
-	// outvoted and hanging are how often gateways put an engine last by votes, and took a
-	// prompt to hang.
+	// outvoted and hanging are how often gateways deprioritised an engine by votes, and
+	// considered a prompt to hang.
 	outvoted, hanging int
-	// cutTokens are those that were read for answers that were cut.
-	cutTokens int
-	// lends is true if gateways lend each other turns, lent is how many.
-	lends  bool
-	lent   int
-	end    time.Time
-	listed []Instance
+	// abandonedTokens is the number of tokens prefilled for answers that were abandoned.
+	abandonedTokens int
+	// lending is true if gateways lend each other turns, lent is the number of turns
+	// lent.
+	lending bool
+	lent    int
+	end     time.Time
+	listed  []Instance
 }
 
-// hintSpread is how far callers' guesses of their answers are off, as the deviation of
-// the logarithm.
+// hintSpread is the error of callers' estimates of their answers' lengths, as the
+// standard deviation of the logarithm.
 const hintSpread = 0.5
 
-// newReplay returns a replay of as many gateways and engines.
-func newReplay(gateways, engines int, every, lag time.Duration, classes []replayClass) *replay {
+// newReplay returns a replay of so many gateways and engines.
+func newReplay(gateways, engines int, reportInterval, reportDelay time.Duration, classes []replayClass) *replay {
 	r := &replay{
 		now: t0, rng: rand.New(rand.NewPCG(1, 2)),
-		engines: make(map[string]*replayEngine), classes: classes, every: every, lag: lag,
+		engines: make(map[string]*replayEngine), classes: classes, reportInterval: reportInterval, reportDelay: reportDelay,
 		eventTokens: eventTokens,
 		total:       make(occupancy.Loads), results: make(map[string]map[replayResult]int),
 	}
 	cfg := replayConfig(classes)
 	for i := range engines {
 		id := fmt.Sprintf("i-%d", i)
-		e := &replayEngine{r: r, id: id, speed: []float64{1, 1, 1.3}[i%3], kept: make(map[uint64]time.Time), sizes: make(map[uint64]int)}
+		e := &replayEngine{r: r, id: id, speed: []float64{1, 1, 1.3}[i%3], cachedAt: make(map[uint64]time.Time), cachedSizes: make(map[uint64]int)}
 		r.engines[id] = e
 		r.order = append(r.order, e)
 		r.listed = append(r.listed, Instance{ID: id, Address: id, Zone: fmt.Sprint(i % 5), Pool: "p", Slots: replaySlots, Created: int64(i + 1)})
@@ -108,7 +110,7 @@
 		g.table.SetInstances(r.now, r.listed)
 		g.table.SetPools(cfg)
 		r.gateways = append(r.gateways, g)
-		r.after(milliseconds(every)*float64(i)/float64(gateways), func() { r.tell(i) })
+		r.after(milliseconds(reportInterval)*float64(i)/float64(gateways), func() { r.exchangeReports(i) })
 	}
 	return r
 }
@@ -127,26 +129,26 @@
 	return cfg
 }
 
-// run plays the load for as many seconds and lets what runs end.
+// run simulates the load for so many seconds and lets running requests end.
 func (r *replay) run(seconds float64) {
 	r.end = t0.Add(time.Duration(seconds * float64(time.Second)))
 	for i := range r.classes {
-		r.next(&r.classes[i])
+		r.scheduleNext(&r.classes[i])
 	}
 	r.play()
 }
 
-// play lets everything happen that is planned, up to a while after the end.
+// play processes the scheduled events until a few seconds after the end.
 func (r *replay) play() {
-	for r.agenda.Len() > 0 && r.now.Before(r.end.Add(6*time.Second)) {
-		item := heap.Pop(&r.agenda).(agendaItem)
+	for r.eventQueue.Len() > 0 && r.now.Before(r.end.Add(6*time.Second)) {
+		item := heap.Pop(&r.eventQueue).(scheduledEvent)
 		r.now = item.at
-		item.do()
+		item.action()
 	}
 }
 
-// next plans the next request of a kind.
-func (r *replay) next(c *replayClass) {
+// scheduleNext schedules the next request of a class.
+func (r *replay) scheduleNext(c *replayClass) {
 	since := r.now.Sub(t0).Seconds()
 	rate := c.perS * float64(len(r.order))
 	if since >= c.burstAt && since < c.burstAt+c.burstFor {
@@ -160,17 +162,17 @@
 	r.after(r.rng.ExpFloat64()/rate*1000, func() {
 		if r.now.Before(r.end) {
 			r.request(c)
-			r.next(c)
+			r.scheduleNext(c)
 		}
 	})
 }
 
-// request is a caller's request at some gateway.
+// request creates a caller's request at a random gateway.
 func (r *replay) request(c *replayClass) {
-	q := &replayRequest{class: c, gateway: r.gateways[r.rng.IntN(len(r.gateways))], came: r.now}
+	q := &replayRequest{class: c, gateway: r.gateways[r.rng.IntN(len(r.gateways))], arrivedAt: r.now}
 	q.output = max(1, int(r.spread(c.output, c.spread)))
 	q.prompt = Prompt{Model: 1, MaxOutput: 4 * c.output, OutputHint: q.output}
-	if r.admits {
+	if r.admitsByMemory {
 		q.prompt.OutputHint = max(1, int(float64(q.output)*math.Exp(hintSpread*r.rng.NormFloat64())))
 	}
 	for i, part := range c.shared {
@@ -183,7 +185,7 @@
 	r.send(q)
 }
 
-// spread draws around a mean, with a long tail.
+// spread draws from a log-normal distribution with the given mean.
 func (r *replay) spread(mean int, sigma float64) float64 {
 	if sigma == 0 {
 		sigma = 0.8
@@ -191,31 +193,31 @@
 	return float64(mean) * math.Exp(sigma*r.rng.NormFloat64()-sigma*sigma/2)
 }
 
-// send picks an engine for the request and calls it.
+// send picks an engine for the request and sends it there.
 func (r *replay) send(q *replayRequest) {
 	c, ok := q.gateway.table.Pick(r.now, Request{Pool: "p", Route: q.class.name, Pause: q.class.pauseLimit(), Tier: q.class.tier,
-		Target: q.class.target, Deadline: q.came.Add(q.class.patient), Prompt: q.prompt, Exclude: q.tried, Hash: r.rng.Uint64(), Least: q.class.tier == 2})
+		Target: q.class.target, Deadline: q.arrivedAt.Add(q.class.patient), Prompt: q.prompt, Exclude: q.tried, Hash: r.rng.Uint64(), Least: q.class.tier == 2})
 	if c.ComeBack > 0 {
-		r.turnedAway(q, c.ComeBack)
+		r.rejected(q, c.ComeBack)
 		return
 	}
-	if !ok && c.ComeBack == 0 && r.lends {
+	if !ok && c.ComeBack == 0 && r.lending {
 		r.borrow(q)
 		return
 	}
 	if !ok || len(q.tried) == 4 {
-		r.turnedAwayByRest(q)
+		r.rejectedInBackoff(q)
 		return
 	}
 	r.sendTo(q, c)
 }
 
-// sendTo sends the request to the engine of the choice.
+// sendTo sends the request to the chosen engine.
 func (r *replay) sendTo(q *replayRequest, c Choice) {
 	q.tried = append(q.tried, c.ID)
 	e := r.engines[c.ID]
-	if e.fault.meets(r.now) {
-		e.fail(q, c)
+	if e.fault.applies(r.now) {
+		e.applyFault(q, c)
 		return
 	}
 	if e.sheds(r.now) {
@@ -244,30 +246,31 @@
 	r.after(ms, func() {
 		if e.dead {
 			q.gateway.table.Ended(r.now, c, Broken, Answer{})
-			r.count(q.class, lostResult)
+			r.count(q.class, failedResult)
 			return
 		}
 		e.arrive(run, from)
 	})
 }
 
-// turnedAwayByRest lets the caller of a request without an upstream come back if all rest.
-func (r *replay) turnedAwayByRest(q *replayRequest) {
+// rejectedInBackoff makes the caller of a request without an upstream retry if all
+// engines are backing off.
+func (r *replay) rejectedInBackoff(q *replayRequest) {
 	left, _ := q.gateway.table.ComeBack(r.now, "p", uint64(r.now.UnixNano()))
 	if left == 0 {
 		r.count(q.class, refusedResult)
 		return
 	}
-	r.turnedAway(q, left)
+	r.rejected(q, left)
 }
 
-// turnedAway lets a caller come back once, if it may wait so long.
-func (r *replay) turnedAway(q *replayRequest, comeBack time.Duration) {
-	if q.cameBack || comeBack > (q.class.patient-r.now.Sub(q.came))/3 {
+// rejected makes a caller retry once, if its deadline allows the delay.
+func (r *replay) rejected(q *replayRequest, comeBack time.Duration) {
+	if q.retried || comeBack > (q.class.patient-r.now.Sub(q.arrivedAt))/3 {
 		r.count(q.class, refusedResult)
 		return
 	}
-	q.cameBack = true
+	q.retried = true
 	q.tried = nil
 	r.after(milliseconds(comeBack), func() { r.send(q) })
 }
@@ -278,11 +281,11 @@
 }
 
 func (r *replay) completed(run *replayRun) {
-	run.gateway.table.Ended(r.now, run.choice, Completed, Answer{Tokens: run.made, LongestGap: run.longest})
-	first := run.began.Sub(run.came)
+	run.gateway.table.Ended(r.now, run.choice, Completed, Answer{Tokens: run.generated, LongestGap: run.longest})
+	first := run.began.Sub(run.arrivedAt)
 	switch {
 	case first > run.class.patient:
-		r.count(run.class, goneResult)
+		r.count(run.class, abandonedResult)
 	case first > run.class.target:
 		r.count(run.class, lateResult)
 	case run.longest > run.class.pauseLimit():
@@ -299,7 +302,7 @@
 	r.results[c.name][result]++
 }
 
-// share is the part of the kind's requests that ended so.
+// share is the share of a class's requests with the result.
 func (r *replay) share(name string, result replayResult) float64 {
 	n := 0
 	for _, count := range r.results[name] {
@@ -308,53 +311,53 @@
 	return float64(r.results[name][result]) / float64(max(n, 1))
 }
 
-func (r *replay) someoneHas(key uint64) bool {
+func (r *replay) cachedAnywhere(key uint64) bool {
 	for _, e := range r.order {
-		if !e.dead && e.has(key) {
+		if !e.dead && e.cached(key) {
 			return true
 		}
 	}
 	return false
 }
 
-// tell passes the word of a gateway on, and to it those of all others.
-func (r *replay) tell(i int) {
+// exchangeReports sends the report of a gateway and delivers those of all others to it.
+func (r *replay) exchangeReports(i int) {
 	g := r.gateways[i]
 	loads := g.table.Loads(r.now)
-	news := g.table.News()
-	r.after(milliseconds(r.lag), func() {
+	cachedParts := g.table.News()
+	r.after(milliseconds(r.reportDelay), func() {
 		for id, l := range g.loads {
-			r.total[id] = minus(r.total[id], l)
+			r.total[id] = subtractLoads(r.total[id], l)
 		}
 		for id, l := range loads {
-			r.total[id] = plus(r.total[id], l)
+			r.total[id] = addLoads(r.total[id], l)
 		}
 		g.loads = loads
-		for _, part := range news {
-			r.news = append(r.news, part)
-			r.newsBy = append(r.newsBy, i)
+		for _, part := range cachedParts {
+			r.cachedParts = append(r.cachedParts, part)
+			r.cachedPartsBy = append(r.cachedPartsBy, i)
 		}
 		others := make(occupancy.Loads, len(r.total))
 		for id, l := range r.total {
-			if o := minus(l, loads[id]); o != (occupancy.Load{}) {
+			if o := subtractLoads(l, loads[id]); o != (occupancy.Load{}) {
 				others[id] = o
 			}
 		}
-		d := g.table.OthersHave(r.now, Picture{Loads: others, Age: r.lag + r.every/2, Keep: 7 * r.every, Gateways: len(r.gateways)})
+		d := g.table.OthersHave(r.now, Picture{Loads: others, Age: r.reportDelay + r.reportInterval/2, Keep: 7 * r.reportInterval, Gateways: len(r.gateways)})
 		r.outvoted += len(d.Outvoted)
 		r.hanging += len(d.Hanging)
 		var parts []occupancy.Part
-		for ; g.heardNews < len(r.news); g.heardNews++ {
-			if r.newsBy[g.heardNews] != i {
-				parts = append(parts, r.news[g.heardNews])
+		for ; g.receivedParts < len(r.cachedParts); g.receivedParts++ {
+			if r.cachedPartsBy[g.receivedParts] != i {
+				parts = append(parts, r.cachedParts[g.receivedParts])
 			}
 		}
 		g.table.OthersRead(r.now, parts)
 	})
-	r.after(milliseconds(r.every), func() { r.tell(i) })
+	r.after(milliseconds(r.reportInterval), func() { r.exchangeReports(i) })
 }
 
-// crash takes a share of the engines away; the list tells of it after three
+// crash crashes a share of the engines; they are removed from the list after three
 // heartbeats.
 func (r *replay) crash(seconds, share float64) {
 	r.after(1000*seconds, func() {
@@ -375,16 +378,16 @@
 	})
 }
 
-func (r *replay) after(ms float64, do func()) {
-	r.agenda.seq++
-	heap.Push(&r.agenda, agendaItem{at: r.now.Add(time.Duration(ms * float64(time.Millisecond))), seq: r.agenda.seq, do: do})
+func (r *replay) after(ms float64, action func()) {
+	r.eventQueue.seq++
+	heap.Push(&r.eventQueue, scheduledEvent{at: r.now.Add(time.Duration(ms * float64(time.Millisecond))), seq: r.eventQueue.seq, action: action})
 }
 
 func (r *replay) report(t *testing.T) {
 	t.Helper()
 	for _, c := range r.classes {
-		t.Logf("%-6s in time %.3f late %.3f paused %.3f lost %.3f refused %.3f gone %.3f", c.name,
-			r.share(c.name, inTime), r.share(c.name, lateResult), r.share(c.name, pausedResult), r.share(c.name, lostResult), r.share(c.name, refusedResult), r.share(c.name, goneResult))
+		t.Logf("%-6s in time %.3f late %.3f paused %.3f failed %.3f refused %.3f abandoned %.3f", c.name,
+			r.share(c.name, inTime), r.share(c.name, lateResult), r.share(c.name, pausedResult), r.share(c.name, failedResult), r.share(c.name, refusedResult), r.share(c.name, abandonedResult))
 	}
-	t.Logf("read again %d k, connections refused %d, outvoted %d, hanging %d", r.readAgain/1000, r.refusals, r.outvoted, r.hanging)
+	t.Logf("prefilled again %d k, connections refused %d, outvoted %d, hanging %d", r.readAgain/1000, r.refusals, r.outvoted, r.hanging)
 }
