--- a/internal/core/balance/replay_limit_test.go
+++ b/internal/core/balance/replay_limit_test.go
@@ -155,9 +155,9 @@
 	}
 	r := newAdmittingReplay(row.gateways, engines, steadyClasses(row.load*float64(left)/engines))
 	r.limit(row.limited, row.limit, from, length)
-	var still []int
+	var remaining []int
 	for s := range limitForgetSeconds {
-		r.after(1000*float64(from+length+s+1), func() { still = append(still, r.knownLimits()) })
+		r.after(1000*float64(from+length+s+1), func() { remaining = append(remaining, r.knownLimits()) })
 	}
 	r.run(from + length + limitForgetSeconds)
 	r.report(t)
@@ -175,8 +175,8 @@
 	is.True(r.share("check", inTime) >= row.check)
 	is.True(r.share("chat", inTime) >= row.chat)
 	is.True(used >= row.used)
-	t.Logf("%d limits at gateways; still applied after each second since the end: %v", row.gateways*row.limited, still)
-	is.Equal(still[limitForgetSeconds-1], 0)
+	t.Logf("%d limits at gateways; still applied after each second since the end: %v", row.gateways*row.limited, remaining)
+	is.Equal(remaining[limitForgetSeconds-1], 0)
 }
 
 // limitForgetSeconds is the number of seconds after which no gateway still applies a
--- a/internal/core/occupancy/occupancy_test.go
+++ b/internal/core/occupancy/occupancy_test.go
@@ -209,7 +209,7 @@
 			is := is.New(t)
 			a, b := New(), New()
 			calls, oldest := 0, time.Duration(0)
-			heard := t0
+			exchangedAt := t0
 			for ms := range 3000 {
 				now := at(ms)
 				asks := func(book *Book, zone string) bool { return !book.Swapped(now, zone, every) }
@@ -217,8 +217,8 @@
 					calls++
 					a.TakeZone(now, "b", requests(1))
 					b.TakeZone(now, "a", requests(1))
-					oldest = max(oldest, now.Sub(heard))
-					heard = now
+					oldest = max(oldest, now.Sub(exchangedAt))
+					exchangedAt = now
 				}
 			}
 			is.True(calls <= 40) // 60 when both ask
