--- a/internal/core/agent/lifecycle.go
+++ b/internal/core/agent/lifecycle.go
@@ -38,16 +38,16 @@
 // there goes on; what waits and what comes is refused as not run, with the time that is
 // left. Without it the agent sent such an upstream the next request at once.
 func (a *Agent) Rest(now time.Time, d time.Duration) []Effect {
-	before := a.said.RestUntil()
+	before := a.said.BackoffUntil()
 	a.said = a.said.With(now, notice.Notice{Rest: d})
-	if !a.said.RestUntil().After(before) {
+	if !a.said.BackoffUntil().After(before) {
 		return nil
 	}
 	return a.refuseWaiting(now, UpstreamDown)
 }
 
 // restLeft is how long the upstream still wants nothing; 0 if it does not rest.
-func (a *Agent) restLeft(now time.Time) time.Duration { return max(0, a.said.RestUntil().Sub(now)) }
+func (a *Agent) restLeft(now time.Time) time.Duration { return max(0, a.said.BackoffUntil().Sub(now)) }
 
 // refuseWaiting refuses all that waits and was never started.
 func (a *Agent) refuseWaiting(now time.Time, reason Reason) []Effect {
--- a/internal/core/balance/backup.go
+++ b/internal/core/balance/backup.go
@@ -34,7 +34,7 @@
 	var best *upstream
 	var load float64
 	for _, u := range candidates {
-		if u == chosen || u.limited.Named {
+		if u == chosen || u.limited.Announced {
 			continue
 		}
 		n := u.inFlight(now)
--- a/internal/core/balance/capacity.go
+++ b/internal/core/balance/capacity.go
@@ -7,7 +7,7 @@
 func (p *pool) capacities() func(*upstream) float64 {
 	work := 0.0
 	return func(u *upstream) float64 {
-		if !u.limited.Named {
+		if !u.limited.Announced {
 			return 1
 		}
 		if work == 0 {
--- a/internal/core/balance/cold.go
+++ b/internal/core/balance/cold.go
@@ -37,7 +37,7 @@
 		Most:      max(1, t.coldLimits.Overrun)*c.PerSecond + t.coldLimits.Slack,
 		For:       c.For,
 	}
-	return coldSplit{Bounds: b, split: warmup.SplitOf(b)}
+	return coldSplit{Bounds: b, split: warmup.NewSplit(b)}
 }
 
 // bounded reports whether the pool's cold upstreams bear less than warm ones.
@@ -63,7 +63,7 @@
 // mayGet reports whether this gateway may send the upstream a request: to a cold one, and
 // to one with a limit, only its holders do, each at its pace.
 func (t *Table) mayGet(now time.Time, p *pool, u *upstream, least bool) bool {
-	if p.isCold(now, u) && (!u.warmup.Free(now) || !t.holds(now, u.hash, p.cold.split.Holders)) {
+	if p.isCold(now, u) && (!u.warmup.MaySend(now) || !t.holds(now, u.hash, p.cold.split.Holders)) {
 		return false
 	}
 	return t.hasTurn(now, u, least)
--- a/internal/core/balance/comeback.go
+++ b/internal/core/balance/comeback.go
@@ -30,10 +30,10 @@
 		if !u.open() || u.gone(now) {
 			continue
 		}
-		left := u.said.RestUntil().Sub(now)
+		left := u.said.BackoffUntil().Sub(now)
 		switch {
 		case left > 0 || u.flooded(now):
-		case u.limited.Named:
+		case u.limited.Announced:
 			left = t.turnLeft(now, u)
 			isLimited = true
 		default:
--- a/internal/core/balance/draw.go
+++ b/internal/core/balance/draw.go
@@ -99,7 +99,7 @@
 	// A cold one that this gateway holds, or one with a limit, gets nothing from the
 	// others, and one on trial waits for one of its requests.
 	for _, u := range list {
-		if u != home && (p.isCold(now, u) || u.limited.Named || u.health.OnTrial(now)) {
+		if u != home && (p.isCold(now, u) || u.limited.Announced || u.health.OnTrial(now)) {
 			drawn = append(drawn, u)
 		}
 	}
--- a/internal/core/balance/gone.go
+++ b/internal/core/balance/gone.go
@@ -54,7 +54,7 @@
 // toldClosed reports whether the upstream said to enough other gateways that it leaves, or
 // wants rest, and has said nothing to this one since.
 func (u *upstream) toldClosed(now time.Time) bool {
-	return u.shared.Closed >= goneWitnesses && u.told(now) && now.Sub(u.heardAt) > goneHeard && !u.said.Away(now)
+	return u.shared.Closed >= goneWitnesses && u.told(now) && now.Sub(u.heardAt) > goneHeard && !u.said.Restricted(now)
 }
 
 // toldAway reports whether others go before the upstream by the word of other gateways.
--- a/internal/core/balance/lend.go
+++ b/internal/core/balance/lend.go
@@ -43,7 +43,7 @@
 // mayBorrow reports whether nothing but a turn keeps the request from the upstream, and no
 // holder has said lately that there is none.
 func (t *Table) mayBorrow(now time.Time, p *pool, u *upstream, r Request) bool {
-	if !u.limited.Named || now.Before(u.limited.askAgainAt) || slices.Contains(r.Exclude, u.ID) {
+	if !u.limited.Announced || now.Before(u.limited.askAgainAt) || slices.Contains(r.Exclude, u.ID) {
 		return false
 	}
 	return u.present(now) && !u.gone(now) && !u.flooded(now) && !u.ejected(now) && !u.toldAway(now) && !p.isCold(now, u)
--- a/internal/core/balance/limited.go
+++ b/internal/core/balance/limited.go
@@ -87,12 +87,12 @@
 	if l == u.limited.Limit {
 		return false
 	}
-	if !l.Named {
+	if !l.Announced {
 		u.limited = limited{}
 		return true
 	}
 	split := t.limitBounds.split(l.PerSecond)
-	if u.limited.Named {
+	if u.limited.Announced {
 		u.limited.Limit, u.limited.split = l, split
 		u.limited.heldAt = time.Time{} // There may be more holders, or fewer.
 		return true
@@ -121,11 +121,11 @@
 // hasTurn reports whether the upstream takes a request of this gateway now, as far as its
 // limit goes. The least urgent ones leave a turn to others for a while.
 func (t *Table) hasTurn(now time.Time, u *upstream, least bool) bool {
-	if u.said.SaidLimited() {
+	if u.said.LimitReported() {
 		t.relimit(now, u, firstTurns)
 	}
 	l := &u.limited
-	if !l.Named {
+	if !l.Announced {
 		return true
 	}
 	if !t.isHolder(now, u) {
@@ -142,7 +142,7 @@
 // takeTurn counts a request at an upstream that has a limit, and reports whether it has.
 func (t *Table) takeTurn(now time.Time, u *upstream) bool {
 	l := &u.limited
-	if !l.Named {
+	if !l.Announced {
 		return false
 	}
 	l.bucket = l.bucket.Spent(now, l.share)
@@ -167,7 +167,7 @@
 func (t *Table) LimitedUpstreams() int {
 	n := 0
 	for _, u := range t.upstreams {
-		if u.limited.Named {
+		if u.limited.Announced {
 			n++
 		}
 	}
--- a/internal/core/balance/limited_test.go
+++ b/internal/core/balance/limited_test.go
@@ -13,7 +13,7 @@
 
 // limitOf names a limit in the answer to a request that was sent at the millisecond.
 func limitOf(sent int, perSecond float64) notice.Notice {
-	return notice.Notice{Limit: notice.Limit{Named: true, PerSecond: perSecond}, SentAt: at(sent)}
+	return notice.Notice{Limit: notice.Limit{Announced: true, PerSecond: perSecond}, SentAt: at(sent)}
 }
 
 // limitedTable has n upstreams that each named the limit to this one of so many gateways.
@@ -131,7 +131,7 @@
 	is.Equal(told, 5)
 	d := table.OthersHave(at(5000), Picture{Keep: 700 * time.Millisecond, Gateways: 9})
 	is.Equal(len(d.Limited), 1)
-	is.True(!d.Limited[0].Named)
+	is.True(!d.Limited[0].Announced)
 }
 
 // A gateway that has sent nothing keeps a limit that others were told of, and sends again
@@ -152,7 +152,7 @@
 	d = tell(500, occupancy.Load{Free: 2})
 	is.True(d.Spoken)
 	is.Equal(len(d.Limited), 1)
-	is.True(!d.Limited[0].Named)
+	is.True(!d.Limited[0].Announced)
 	is.Equal(taken(table, 510, 1000, false), 49)
 }
 
--- a/internal/core/balance/parts.go
+++ b/internal/core/balance/parts.go
@@ -12,7 +12,7 @@
 		p.Upstream = u.start
 		t.news = append(t.news, p)
 	}
-	if over := len(t.news) - occupancy.NewsMost; over > 0 {
+	if over := len(t.news) - occupancy.MaxPartsPerMessage; over > 0 {
 		t.news = t.news[over:]
 	}
 }
--- a/internal/core/balance/pick.go
+++ b/internal/core/balance/pick.go
@@ -140,7 +140,7 @@
 	if !r.Least || r.Prompt.Tokens == 0 || len(r.Exclude) > 0 {
 		return 0
 	}
-	ask := overload.Ask{
+	ask := overload.AdmissionRequest{
 		Target:       r.Target,
 		Wait:         duration(c.Wait),
 		Pending:      func() time.Duration { return p.pendingLeast(now) },
@@ -149,10 +149,10 @@
 		Hash:         r.Hash,
 	}
 	if !r.Deadline.IsZero() {
-		ask.Left = r.Deadline.Sub(now)
-		ask.End = duration(c.Wait + p.answerMs(now, u, r, c))
+		ask.TimeLeft = r.Deadline.Sub(now)
+		ask.Completion = duration(c.Wait + p.answerMs(now, u, r, c))
 	}
-	return p.queue.TurnAway(now, ask)
+	return p.queue.CheckAdmission(now, ask)
 }
 
 // answerMs is the time that the engine is expected to need for a whole answer once it
--- a/internal/core/balance/replay_limit_test.go
+++ b/internal/core/balance/replay_limit_test.go
@@ -104,7 +104,7 @@
 	l, now := &e.limit, e.r.now
 	n := notice.Notice{SentAt: run.choice.pickedAt}
 	if !now.Before(l.from) && now.Before(l.to) {
-		n.Limit = notice.Limit{Named: true, PerSecond: l.perSecond}
+		n.Limit = notice.Limit{Announced: true, PerSecond: l.perSecond}
 		if _, ok := l.informedAt[run.gateway]; !ok {
 			l.informedAt[run.gateway] = now
 		}
--- a/internal/core/balance/said.go
+++ b/internal/core/balance/said.go
@@ -58,9 +58,9 @@
 		Listed:     listed,
 		State:      after,
 		Leaves:     after.Leaving() && !before.Leaving(),
-		Rests:      after.RestUntil().After(before.RestUntil()),
-		Limits:     after.Named() != before.Named(),
-		Unreadable: after.Unread() != before.Unread(),
+		Rests:      after.BackoffUntil().After(before.BackoffUntil()),
+		Limits:     after.Announced() != before.Announced(),
+		Unreadable: after.Unparsed() != before.Unparsed(),
 	}
 }
 
@@ -69,7 +69,7 @@
 // is the one that it names, if that is listed at the address.
 func (t *Table) speaker(to Instance, n notice.Notice) (Instance, bool) {
 	if n.Of == "" || n.Of == to.ID {
-		return to, !n.Elsewhere || n.Of == to.ID
+		return to, !n.Misdirected || n.Of == to.ID
 	}
 	u, ok := t.upstreams[n.Of]
 	if !ok || u.Address != to.Address {
@@ -101,22 +101,22 @@
 
 // present reports whether the upstream is there for new requests now.
 func (u *upstream) present(now time.Time) bool {
-	return u.open() && (!u.said.Rested() || !u.said.Resting(now))
+	return u.open() && (!u.said.EverBackedOff() || !u.said.BackingOff(now))
 }
 
 // spared reports whether others go first, as a rest of the upstream ended a moment ago.
 // The first request may be refused again, so that it is one of the least urgent.
 func (t *Table) spared(now time.Time, u *upstream, r Request) bool {
-	if !u.said.Rested() {
+	if !u.said.EverBackedOff() {
 		return false
 	}
-	return u.said.Spared(now, t.gateways, u.unanswered()) || (!r.Least && u.said.Untried(now))
+	return u.said.SlowStartLimited(now, t.gateways, u.unanswered()) || (!r.Least && u.said.Unproven(now))
 }
 
 // flooded reports whether the upstream is back from its rest and has all that it can take
 // for now.
 func (u *upstream) flooded(now time.Time) bool {
-	return u.said.Rested() && u.said.Flooded(now, u.unanswered())
+	return u.said.EverBackedOff() && u.said.SlowStartExhausted(now, u.unanswered())
 }
 
 // unanswered is the number of this gateway's requests there without a first word, of
@@ -124,7 +124,7 @@
 func (u *upstream) unanswered() int {
 	n := 0
 	for _, r := range u.running {
-		if !r.begun && !r.sentAt.Before(u.said.RestUntil()) {
+		if !r.begun && !r.sentAt.Before(u.said.BackoffUntil()) {
 			n++
 		}
 	}
--- a/internal/core/balance/said_test.go
+++ b/internal/core/balance/said_test.go
@@ -26,7 +26,7 @@
 	elsewhere := a
 	elsewhere.Address = "3:1"
 	heir := Instance{ID: "c", Address: "1:1", Zone: "a", Pool: "p", Slots: 8, Born: 5, Created: 9}
-	leaving := func(of string) notice.Notice { return notice.Notice{Leaving: true, Elsewhere: true, Of: of} }
+	leaving := func(of string) notice.Notice { return notice.Notice{Leaving: true, Misdirected: true, Of: of} }
 	tests := []struct {
 		name string
 		// to is who the request was sent to, n what its answer said.
--- a/internal/core/balance/shared.go
+++ b/internal/core/balance/shared.go
@@ -70,17 +70,17 @@
 
 // countLimits takes the votes of all gateways on the upstream's limit.
 func (t *Table) countLimits(now time.Time, u *upstream, d *Doubts) {
-	if !u.said.SaidLimited() && u.shared.Limited == 0 {
+	if !u.said.LimitReported() && u.shared.Limited == 0 {
 		return
 	}
 	votes := notice.LimitVotes{Limited: u.shared.Limited, PerSecond: u.shared.Limit(), Free: u.shared.Free}
 	u.said = u.said.WithLimitVotes(votes, u.sharedUntil)
 	d.Spoken = true
-	named := u.limited.Named
+	named := u.limited.Announced
 	if !t.relimit(now, u, firstTurns) {
 		return
 	}
-	if named != u.limited.Named || now.Sub(u.limitToldAt) >= toldEvery {
+	if named != u.limited.Announced || now.Sub(u.limitToldAt) >= toldEvery {
 		u.limitToldAt = now
 		d.Limited = append(d.Limited, Limited{ID: u.ID, Limit: u.limited.Limit, Votes: votes})
 	}
--- a/internal/core/balance/table.go
+++ b/internal/core/balance/table.go
@@ -113,7 +113,7 @@
 	upstreams map[string]*upstream
 	pools     map[string]*pool
 	// unlisted is what starts have said of themselves that are not on the list.
-	unlisted notice.Book
+	unlisted notice.StateCache
 	lastRun  uint64
 	// toldAt is when other gateways told last what they have, toldAge how old that
 	// was by then, and gateways their number with this one.
@@ -275,7 +275,7 @@
 		if u.present(now) {
 			p.present++
 		}
-		if end := u.said.RestUntil(); end.After(now) && (p.orderUntil.IsZero() || end.Before(p.orderUntil)) {
+		if end := u.said.BackoffUntil(); end.After(now) && (p.orderUntil.IsZero() || end.Before(p.orderUntil)) {
 			p.orderUntil = end
 		}
 	}
--- a/internal/core/notice/limit.go
+++ b/internal/core/notice/limit.go
@@ -10,12 +10,12 @@
 // Limit is the number of requests per second that an upstream accepts from all gateways
 // together. The zero value is no limit.
 type Limit struct {
-	// Named is true if there is a limit.
-	Named     bool
+	// Announced is true if there is a limit.
+	Announced bool
 	PerSecond float64
-	// Unclear is true if an answer announces a limit that cannot be parsed: it is unknown
-	// then whether the previous one still holds.
-	Unclear bool
+	// Malformed is true if an answer announces a limit that cannot be parsed: it is
+	// unknown then whether the previous one still holds.
+	Malformed bool
 }
 
 // ParseLimit parses the values of a limit, decimal numbers separated by commas, and
@@ -25,12 +25,12 @@
 	l := Limit{PerSecond: math.Inf(1)}
 	for _, field := range strings.Split(text, ",") {
 		if v, ok := parseRate(strings.TrimSpace(field)); ok {
-			l.Named = true
+			l.Announced = true
 			l.PerSecond = min(l.PerSecond, v)
 		}
 	}
-	if !l.Named {
-		return Limit{Unclear: true}, false
+	if !l.Announced {
+		return Limit{Malformed: true}, false
 	}
 	return l, true
 }
@@ -62,10 +62,10 @@
 func (l limitState) with(now time.Time, n Notice) limitState {
 	later := n.SentAt.After(l.announcedAt)
 	switch {
-	case n.Limit.Unclear:
+	case n.Limit.Malformed:
 		return l
-	case n.Limit.Named:
-		if !l.Named || later || n.Limit.PerSecond < l.PerSecond {
+	case n.Limit.Announced:
+		if !l.Announced || later || n.Limit.PerSecond < l.PerSecond {
 			l.Limit = n.Limit
 		}
 		l.announcedAt, l.reportedAt = now, now
@@ -108,7 +108,7 @@
 	switch {
 	case !s.limit.fresh(now):
 		return LimitVotes{}
-	case s.limit.Named:
+	case s.limit.Announced:
 		return LimitVotes{Limited: 1, PerSecond: s.limit.PerSecond}
 	default:
 		return LimitVotes{Free: 1}
@@ -137,7 +137,7 @@
 	}
 	switch {
 	case s.votes.forLimit():
-		return Limit{Named: true, PerSecond: s.votes.PerSecond}
+		return Limit{Announced: true, PerSecond: s.votes.PerSecond}
 	case s.votes.againstLimit():
 		return Limit{}
 	default:
@@ -145,9 +145,9 @@
 	}
 }
 
-// Named is the limit that the upstream last announced to this gateway.
-func (s State) Named() Limit { return s.limit.Limit }
+// Announced is the limit that the upstream last announced to this gateway.
+func (s State) Announced() Limit { return s.limit.Limit }
 
-// SaidLimited reports whether this or other gateways know of a limit of the upstream; its
-// answers must be checked for limits then.
-func (s State) SaidLimited() bool { return s.limit.Named || s.votes.Limited > 0 }
+// LimitReported reports whether this or other gateways know of a limit of the upstream;
+// its answers must be checked for limits then.
+func (s State) LimitReported() bool { return s.limit.Announced || s.votes.Limited > 0 }
--- a/internal/core/notice/limit_test.go
+++ b/internal/core/notice/limit_test.go
@@ -8,7 +8,7 @@
 
 // limit is an answer with a limit, to a request sent at the given second.
 func limit(sent, perSecond float64) Notice {
-	return Notice{Limit: Limit{Named: true, PerSecond: perSecond}, SentAt: at(sent)}
+	return Notice{Limit: Limit{Announced: true, PerSecond: perSecond}, SentAt: at(sent)}
 }
 
 // none is an answer without a limit, to a request sent at the given second.
@@ -27,17 +27,17 @@
 		want  Limit
 	}{
 		{"never announced", []step{{1, none(0)}}, Limit{}},
-		{"named", []step{{1, limit(0, 2)}}, Limit{Named: true, PerSecond: 2}},
+		{"named", []step{{1, limit(0, 2)}}, Limit{Announced: true, PerSecond: 2}},
 		{"announced, then not", []step{{1, limit(0, 2)}, {3, none(2)}}, Limit{}},
-		{"followed by an older answer without it", []step{{1, limit(0, 2)}, {1.1, none(0.5)}}, Limit{Named: true, PerSecond: 2}},
-		{"falls", []step{{1, limit(0, 50)}, {1.1, limit(0.5, 1)}}, Limit{Named: true, PerSecond: 1}},
-		{"rises", []step{{1, limit(0, 1)}, {3, limit(2, 50)}}, Limit{Named: true, PerSecond: 50}},
-		{"followed by an older answer with a higher one", []step{{1, limit(0, 1)}, {1.1, limit(0.5, 50)}}, Limit{Named: true, PerSecond: 1}},
-		{"in an interim answer", []step{{1, Notice{Limit: Limit{Named: true, PerSecond: 3}}}}, Limit{Named: true, PerSecond: 3}},
-		{"interim answers do not remove it", []step{{1, limit(0, 2)}, {3, Notice{}}}, Limit{Named: true, PerSecond: 2}},
-		{"an unparsable limit does not remove it", []step{{1, limit(0, 2)}, {3, Notice{Limit: Limit{Unclear: true}, SentAt: at(2)}}}, Limit{Named: true, PerSecond: 2}},
-		{"no requests at all", []step{{1, limit(0, 0)}}, Limit{Named: true}},
-		{"up and down", []step{{1, limit(0, 1)}, {3, limit(2, 50)}, {4, limit(3.5, 1)}, {6, limit(5, 9)}}, Limit{Named: true, PerSecond: 9}},
+		{"followed by an older answer without it", []step{{1, limit(0, 2)}, {1.1, none(0.5)}}, Limit{Announced: true, PerSecond: 2}},
+		{"falls", []step{{1, limit(0, 50)}, {1.1, limit(0.5, 1)}}, Limit{Announced: true, PerSecond: 1}},
+		{"rises", []step{{1, limit(0, 1)}, {3, limit(2, 50)}}, Limit{Announced: true, PerSecond: 50}},
+		{"followed by an older answer with a higher one", []step{{1, limit(0, 1)}, {1.1, limit(0.5, 50)}}, Limit{Announced: true, PerSecond: 1}},
+		{"in an interim answer", []step{{1, Notice{Limit: Limit{Announced: true, PerSecond: 3}}}}, Limit{Announced: true, PerSecond: 3}},
+		{"interim answers do not remove it", []step{{1, limit(0, 2)}, {3, Notice{}}}, Limit{Announced: true, PerSecond: 2}},
+		{"an unparsable limit does not remove it", []step{{1, limit(0, 2)}, {3, Notice{Limit: Limit{Malformed: true}, SentAt: at(2)}}}, Limit{Announced: true, PerSecond: 2}},
+		{"no requests at all", []step{{1, limit(0, 0)}}, Limit{Announced: true}},
+		{"up and down", []step{{1, limit(0, 1)}, {3, limit(2, 50)}, {4, limit(3.5, 1)}, {6, limit(5, 9)}}, Limit{Announced: true, PerSecond: 9}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -46,8 +46,8 @@
 			for _, st := range tt.steps {
 				s = s.With(at(st.at), st.n)
 			}
-			is.Equal(s.Named(), tt.want)
-			is.Equal(s.Any(at(1e6)), tt.want.Named)
+			is.Equal(s.Announced(), tt.want)
+			is.Equal(s.Any(at(1e6)), tt.want.Announced)
 			is.True(!s.Closed(at(1e6)))
 		})
 	}
@@ -57,8 +57,8 @@
 // last own answer. A single gateway that reports wrong data can neither remove a limit
 // nor impose one on a gateway that has an answer.
 func TestLimitOfOthers(t *testing.T) {
-	two := Limit{Named: true, PerSecond: 2}
-	nine := Limit{Named: true, PerSecond: 9}
+	two := Limit{Announced: true, PerSecond: 2}
+	nine := Limit{Announced: true, PerSecond: 9}
 	wrong := LimitVotes{Limited: 1, PerSecond: 0.001}
 	tests := []struct {
 		name string
@@ -76,7 +76,7 @@
 		{"others are silent", limit(0, 2), LimitVotes{}, two, two},
 		{"others disagree", limit(0, 2), LimitVotes{Limited: 3, PerSecond: 9, Free: 2}, two, nine},
 		{"a single wrong report of no limit", limit(0, 2), LimitVotes{Free: 1}, two, two},
-		{"a single wrong report of a limit", none(0), wrong, Limit{}, Limit{Named: true, PerSecond: 0.001}},
+		{"a single wrong report of a limit", none(0), wrong, Limit{}, Limit{Announced: true, PerSecond: 0.001}},
 		{"a wrong report against two answers", none(0), LimitVotes{Limited: 1, PerSecond: 0.001, Free: 2}, Limit{}, Limit{}},
 	}
 	for _, tt := range tests {
@@ -85,7 +85,7 @@
 			s := State{}.WithLimitVotes(tt.votes, at(61)).With(at(1), tt.own)
 			is.Equal(s.Limit(at(2)), tt.fresh)
 			is.Equal(s.Limit(at(60)), tt.later)
-			is.Equal(s.Limit(at(62)), s.Named()) // reports of others expire
+			is.Equal(s.Limit(at(62)), s.Announced()) // reports of others expire
 		})
 	}
 }
--- a/internal/core/notice/notice.go
+++ b/internal/core/notice/notice.go
@@ -10,7 +10,7 @@
 //
 //	n := notice.Notice{Leaving: true}
 //	state = state.With(now, n)
-//	if state.Leaving() || state.Resting(now) {
+//	if state.Leaving() || state.BackingOff(now) {
 //		// send nothing
 //	}
 package notice
@@ -29,14 +29,15 @@
 	// SentAt is when the request of this answer was sent; zero if unknown, as for interim
 	// answers and answers to other requests.
 	SentAt time.Time
-	// Unread is the text of an announcement that could not be parsed; empty if all could.
-	Unread string
+	// Unparsed is the text of an announcement that could not be parsed; empty if all
+	// could.
+	Unparsed string
 	// Of is the upstream identity in the answer; empty if it has none.
 	Of string
-	// Elsewhere is true if the answer comes from another incarnation than the addressed
+	// Misdirected is true if the answer comes from another incarnation than the addressed
 	// one.
-	Elsewhere bool
+	Misdirected bool
 }
 
 // Any reports whether the answer announces anything about its upstream.
-func (n Notice) Any() bool { return n.Leaving || n.Rest > 0 || n.Limit.Named || n.Unread != "" }
+func (n Notice) Any() bool { return n.Leaving || n.Rest > 0 || n.Limit.Announced || n.Unparsed != "" }
--- a/internal/core/notice/state.go
+++ b/internal/core/notice/state.go
@@ -46,8 +46,8 @@
 func (s State) With(now time.Time, n Notice) State {
 	s.leaving = s.leaving || n.Leaving
 	s.limit = s.limit.with(now, n)
-	if n.Unread != "" {
-		s.unparsed = n.Unread
+	if n.Unparsed != "" {
+		s.unparsed = n.Unparsed
 	}
 	if n.Rest <= 0 {
 		return s
@@ -68,53 +68,55 @@
 }
 
 // Any reports whether anything that the upstream announced is in effect.
-func (s State) Any(now time.Time) bool { return s.SaidLimited() || s.Away(now) }
+func (s State) Any(now time.Time) bool { return s.LimitReported() || s.Restricted(now) }
 
-// Away reports whether the upstream is leaving, in backoff, or in slow start.
-func (s State) Away(now time.Time) bool { return s.leaving || s.Resting(now) || s.inSlowStart(now) }
+// Restricted reports whether the upstream is leaving, in backoff, or in slow start.
+func (s State) Restricted(now time.Time) bool {
+	return s.leaving || s.BackingOff(now) || s.inSlowStart(now)
+}
 
-// Unread is the text of the latest announcement that could not be parsed.
-func (s State) Unread() string { return s.unparsed }
+// Unparsed is the text of the latest announcement that could not be parsed.
+func (s State) Unparsed() string { return s.unparsed }
 
 // Leaving reports whether the upstream has announced that it is leaving.
 func (s State) Leaving() bool { return s.leaving }
 
-// Resting reports whether the upstream is in a requested backoff.
-func (s State) Resting(now time.Time) bool { return now.Before(s.backoffUntil) }
+// BackingOff reports whether the upstream is in a requested backoff.
+func (s State) BackingOff(now time.Time) bool { return now.Before(s.backoffUntil) }
 
 // Closed reports whether nothing may be sent to the upstream now.
-func (s State) Closed(now time.Time) bool { return s.leaving || s.Resting(now) }
+func (s State) Closed(now time.Time) bool { return s.leaving || s.BackingOff(now) }
 
-// RestUntil is when the last requested backoff ends; zero for none.
-func (s State) RestUntil() time.Time { return s.backoffUntil }
+// BackoffUntil is when the last requested backoff ends; zero for none.
+func (s State) BackoffUntil() time.Time { return s.backoffUntil }
 
-// Rested reports whether the upstream has ever requested a backoff. Most never do, and
-// callers can skip the other checks for them.
-func (s State) Rested() bool { return !s.backoffUntil.IsZero() }
+// EverBackedOff reports whether the upstream has ever requested a backoff. Most never do,
+// and callers can skip the other checks for them.
+func (s State) EverBackedOff() bool { return !s.backoffUntil.IsZero() }
 
 // inSlowStart reports whether a backoff of the upstream has ended recently.
 func (s State) inSlowStart(now time.Time) bool {
-	return s.Rested() && !s.Resting(now) && now.Sub(s.backoffUntil) < slowStartDuration
+	return s.EverBackedOff() && !s.BackingOff(now) && now.Sub(s.backoffUntil) < slowStartDuration
 }
 
-// Spared reports whether the upstream has reached its slow start limit: the number of
-// unanswered requests may exceed that of the answers since the backoff by one. The first
-// requests of many gateways are spread over a short time. Other upstreams are preferred
-// then, but no request is refused for this reason.
-func (s State) Spared(now time.Time, gateways, unanswered int) bool {
+// SlowStartLimited reports whether the upstream has reached its slow start limit: the
+// number of unanswered requests may exceed that of the answers since the backoff by one.
+// The first requests of many gateways are spread over a short time. Other upstreams are
+// preferred then, but no request is refused for this reason.
+func (s State) SlowStartLimited(now time.Time, gateways, unanswered int) bool {
 	if !s.inSlowStart(now) {
 		return false
 	}
 	return now.Before(s.backoffUntil.Add(s.slowStartDelay(gateways))) || unanswered > s.answered
 }
 
-// Untried reports whether the upstream is in slow start and has not answered a request
+// Unproven reports whether the upstream is in slow start and has not answered a request
 // since its backoff.
-func (s State) Untried(now time.Time) bool { return s.inSlowStart(now) && s.answered == 0 }
+func (s State) Unproven(now time.Time) bool { return s.inSlowStart(now) && s.answered == 0 }
 
-// Flooded reports whether the upstream has so many requests in slow start that more would
-// make it refuse again. This holds even if no other upstream is available.
-func (s State) Flooded(now time.Time, unanswered int) bool {
+// SlowStartExhausted reports whether the upstream has so many requests in slow start that
+// more would make it refuse again. This holds even if no other upstream is available.
+func (s State) SlowStartExhausted(now time.Time, unanswered int) bool {
 	return s.inSlowStart(now) && unanswered >= hardLimitFactor*(s.answered+1)
 }
 
--- a/internal/core/notice/book.go
+++ b/internal/core/notice/state_cache.go
@@ -11,10 +11,10 @@
 	maxEntries = 4096
 )
 
-// Book keeps the states of incarnations that are currently not listed, so that an entry
-// that comes back does not undo what its upstream announced. The zero value is empty. It
-// is not safe for concurrent use.
-type Book struct {
+// StateCache keeps the states of incarnations that are currently not listed, so that an
+// entry that comes back does not undo what its upstream announced. The zero value is
+// empty. It is not safe for concurrent use.
+type StateCache struct {
 	entries map[uint64]bookEntry
 }
 
@@ -26,7 +26,7 @@
 
 // Put stores the state of an incarnation, unless nothing in it is in effect. The oldest
 // entry is evicted if there are too many.
-func (b *Book) Put(now time.Time, start uint64, s State) {
+func (b *StateCache) Put(now time.Time, start uint64, s State) {
 	if !s.Any(now) {
 		return
 	}
@@ -40,7 +40,7 @@
 }
 
 // Get returns the stored state of an incarnation.
-func (b *Book) Get(now time.Time, start uint64) State {
+func (b *StateCache) Get(now time.Time, start uint64) State {
 	e, ok := b.entries[start]
 	if !ok || now.Sub(e.at) > retention {
 		return State{}
@@ -49,7 +49,7 @@
 }
 
 // evict drops the expired entries, and the oldest one if there are still too many.
-func (b *Book) evict(now time.Time) {
+func (b *StateCache) evict(now time.Time) {
 	var oldest uint64
 	oldestAt := now.Add(1)
 	for start, e := range b.entries {
@@ -80,8 +80,9 @@
 // Limited reports whether the incarnation has a limit now.
 func (c Closed) Limited(now time.Time, start uint64) bool {
 	s, ok := c[start]
-	return ok && s.Limit(now).Named
+	return ok && s.Limit(now).Announced
 }
 
-// SaidLimited reports whether this or other gateways know of a limit of the incarnation.
-func (c Closed) SaidLimited(start uint64) bool { return c[start].SaidLimited() }
+// LimitReported reports whether this or other gateways know of a limit of the
+// incarnation.
+func (c Closed) LimitReported(start uint64) bool { return c[start].LimitReported() }
--- a/internal/core/notice/state_test.go
+++ b/internal/core/notice/state_test.go
@@ -62,15 +62,15 @@
 func TestSlowStart(t *testing.T) {
 	is := is.New(t)
 	s := State{}.With(t0, backoff(3))
-	is.True(!s.Spared(at(2), 1, 0)) // in backoff
-	is.True(!s.Spared(at(3), 1, 0))
-	is.True(s.Spared(at(3), 1, 1))
+	is.True(!s.SlowStartLimited(at(2), 1, 0)) // in backoff
+	is.True(!s.SlowStartLimited(at(3), 1, 0))
+	is.True(s.SlowStartLimited(at(3), 1, 1))
 	s = s.WithAnswer(at(3.1))
-	is.True(!s.Spared(at(3.1), 1, 1))
-	is.True(s.Spared(at(3.1), 1, 2))
-	is.True(!s.Spared(at(5), 1, 100)) // slow start is over
+	is.True(!s.SlowStartLimited(at(3.1), 1, 1))
+	is.True(s.SlowStartLimited(at(3.1), 1, 2))
+	is.True(!s.SlowStartLimited(at(5), 1, 100)) // slow start is over
 	s = s.With(at(3.2), backoff(3))
-	is.True(s.Spared(at(6.2), 1, 1)) // it starts over
+	is.True(s.SlowStartLimited(at(6.2), 1, 1)) // it starts over
 }
 
 // The first requests of many gateways after a backoff are spread over at most a second.
@@ -92,11 +92,11 @@
 		early, late := 0, 0
 		for i := range 1000 {
 			s := State{}.With(t0.Add(time.Duration(i)*time.Microsecond), backoff(3))
-			end := s.RestUntil()
-			if !s.Spared(end.Add(time.Duration(tt.most*0.1*float64(time.Second))), tt.gateways, 0) {
+			end := s.BackoffUntil()
+			if !s.SlowStartLimited(end.Add(time.Duration(tt.most*0.1*float64(time.Second))), tt.gateways, 0) {
 				early++
 			}
-			if s.Spared(end.Add(time.Duration(tt.most*float64(time.Second))), tt.gateways, 0) {
+			if s.SlowStartLimited(end.Add(time.Duration(tt.most*float64(time.Second))), tt.gateways, 0) {
 				late++
 			}
 		}
@@ -107,7 +107,7 @@
 
 func TestBook(t *testing.T) {
 	is := is.New(t)
-	var b Book
+	var b StateCache
 	leaving := State{}.With(t0, Notice{Leaving: true})
 	b.Put(t0, 1, leaving)
 	b.Put(t0, 2, State{})
@@ -141,7 +141,7 @@
 			if s.Leaving() != leaving || s.Closed(now) != (leaving || now.Before(until)) {
 				t.Fatalf("%+v at %v: leaving %t until %v", s, now, leaving, until)
 			}
-			if s.Resting(now.Add(maxBackoff)) {
+			if s.BackingOff(now.Add(maxBackoff)) {
 				t.Fatalf("%+v backs off for more than an hour", s)
 			}
 		}
--- a/internal/core/occupancy/book.go
+++ b/internal/core/occupancy/book.go
@@ -28,13 +28,13 @@
 // New returns a book without reports.
 func New() *Book {
 	b := &Book{members: newReportSet(), peers: newReportSet()}
-	b.Expect(PaceOf(1, 1, false))
+	b.SetIntervals(IntervalsFor(1, 1, false))
 	return b
 }
 
-// Expect sets the intervals at which gateways report: the longer they are, the longer a
-// report stays valid.
-func (b *Book) Expect(p Pace) {
+// SetIntervals sets the intervals at which gateways report: the longer they are, the
+// longer a report stays valid.
+func (b *Book) SetIntervals(p Intervals) {
 	b.retention = p.retention()
 	b.meanAge = p.Age()
 }
@@ -50,27 +50,27 @@
 	return !r.at.IsZero() && now.Sub(r.at) <= b.retention
 }
 
-// Own sets the load of the gateway itself.
-func (b *Book) Own(l Loads) { b.own = l }
+// SetOwn sets the load of the gateway itself.
+func (b *Book) SetOwn(l Loads) { b.own = l }
 
-// TakeMember records the load of another gateway of the availability zone. Its report
+// RecordMember records the load of another gateway of the availability zone. Its report
 // counts as a single vote on an upstream's health, whatever numbers it contains.
-func (b *Book) TakeMember(now time.Time, address string, l Loads) {
-	b.TakeCell(now, address, l, 1)
+func (b *Book) RecordMember(now time.Time, address string, l Loads) {
+	b.RecordCell(now, address, l, 1)
 }
 
-// TakeCell records the summed load of several gateways of the availability zone. The
+// RecordCell records the summed load of several gateways of the availability zone. The
 // report counts as at most that many votes on an upstream's health.
-func (b *Book) TakeCell(now time.Time, address string, l Loads, gateways int) {
+func (b *Book) RecordCell(now time.Time, address string, l Loads, gateways int) {
 	l = l.capVotes(gateways)
 	b.members.record(now, address, l)
 	b.peers.record(now, address, l)
 }
 
-// TakeZone records the load of the gateways of another availability zone. A cell's relay
-// also uses it, with a name that no zone has, for what it gets from the relay of its own
-// zone.
-func (b *Book) TakeZone(now time.Time, zone string, l Loads) {
+// RecordZone records the load of the gateways of another availability zone. A cell's
+// relay also uses it, with a name that no zone has, for what it gets from the relay of
+// its own zone.
+func (b *Book) RecordZone(now time.Time, zone string, l Loads) {
 	b.peers.record(now, zoneKey(zone), l)
 }
 
@@ -78,16 +78,16 @@
 // availability zone shows that its relay has just called this one.
 const exchangedShare = 0.75
 
-// Swapped reports whether the relay of the other availability zone has just exchanged
-// reports with this one. A call carries the reports of both sides, and traffic between
-// zones is expensive, so a second call is unnecessary.
-func (b *Book) Swapped(now time.Time, zone string, every time.Duration) bool {
+// RecentlyExchanged reports whether the relay of the other availability zone has just
+// exchanged reports with this one. A call carries the reports of both sides, and traffic
+// between zones is expensive, so a second call is unnecessary.
+func (b *Book) RecentlyExchanged(now time.Time, zone string, every time.Duration) bool {
 	r, ok := b.peers.by[zoneKey(zone)]
 	return ok && now.Sub(r.at) < time.Duration(exchangedShare*float64(every))
 }
 
-// TakeAll records the relay's sum over all other gateways.
-func (b *Book) TakeAll(now time.Time, l Loads) { b.fromRelay = report{loads: l, at: now} }
+// RecordOthers records the relay's sum over all other gateways.
+func (b *Book) RecordOthers(now time.Time, l Loads) { b.fromRelay = report{loads: l, at: now} }
 
 // For returns the load of all gateways except the given one of the availability zone.
 // This is a relay's answer to that gateway.
--- a/internal/core/occupancy/doc.go
+++ b/internal/core/occupancy/doc.go
@@ -13,12 +13,12 @@
 // # Usage
 //
 //	b := occupancy.New()
-//	b.Own(loads)
+//	b.SetOwn(loads)
 //	if relay {
-//		b.TakeMember(now, address, theirs)
+//		b.RecordMember(now, address, theirs)
 //		answer := b.For(now, address)
 //	} else {
-//		b.TakeAll(now, answerOfTheRelay)
+//		b.RecordOthers(now, answerOfRelay)
 //	}
 //	others, ok := b.Others(now, relay)
 package occupancy
--- a/internal/core/occupancy/load.go
+++ b/internal/core/occupancy/load.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// WithoutVerdicts returns the loads without the votes on the upstreams' health.
-func (l Loads) WithoutVerdicts() Loads { return l.capVotes(0) }
+// WithoutVotes returns the loads without the votes on the upstreams' health.
+func (l Loads) WithoutVotes() Loads { return l.capVotes(0) }
 
 func (l Loads) capVotes(maxVotes int) Loads {
 	out := make(Loads, len(l))
--- a/internal/core/occupancy/occupancy_test.go
+++ b/internal/core/occupancy/occupancy_test.go
@@ -20,12 +20,12 @@
 func TestSums(t *testing.T) {
 	is := is.New(t)
 	relay, member := New(), New()
-	relay.Own(requests(1))
-	member.Own(requests(2))
-	relay.TakeMember(t0, "m", requests(2))
-	relay.TakeMember(t0, "n", requests(4))
-	relay.TakeZone(t0, "z", requests(8))
-	relay.TakeZone(t0, "z", requests(16)) // the newer report
+	relay.SetOwn(requests(1))
+	member.SetOwn(requests(2))
+	relay.RecordMember(t0, "m", requests(2))
+	relay.RecordMember(t0, "n", requests(4))
+	relay.RecordZone(t0, "z", requests(8))
+	relay.RecordZone(t0, "z", requests(16)) // the newer report
 	is.Equal(relay.Zone(at(1))[7].Requests, 7)
 	is.Equal(relay.For(at(1), "m")[7], Load{Requests: 21, Unread: 210})
 	others, ok := relay.Others(at(1), true)
@@ -33,7 +33,7 @@
 	is.Equal(others[7].Requests, 22)
 	_, ok = member.Others(at(1), false)
 	is.True(!ok) // no report yet
-	member.TakeAll(at(1), relay.For(at(1), "m"))
+	member.RecordOthers(at(1), relay.For(at(1), "m"))
 	others, ok = member.Others(at(2), false)
 	is.True(ok)
 	is.Equal(others[7].Requests, 21)
@@ -46,9 +46,9 @@
 		name   string
 		record func(b *Book)
 	}{
-		{"of a member", func(b *Book) { b.TakeMember(t0, "m", requests(3)) }},
-		{"of a zone", func(b *Book) { b.TakeZone(t0, "z", requests(3)) }},
-		{"of the relay", func(b *Book) { b.TakeAll(t0, requests(3)) }},
+		{"of a member", func(b *Book) { b.RecordMember(t0, "m", requests(3)) }},
+		{"of a zone", func(b *Book) { b.RecordZone(t0, "z", requests(3)) }},
+		{"of the relay", func(b *Book) { b.RecordOthers(t0, requests(3)) }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -70,8 +70,8 @@
 	b := New()
 	for i := range 500 {
 		now := at(100 * i)
-		b.TakeMember(now, fmt.Sprint("m", i), requests(1))
-		b.TakeZone(now, fmt.Sprint("z", i), requests(1))
+		b.RecordMember(now, fmt.Sprint("m", i), requests(1))
+		b.RecordZone(now, fmt.Sprint("z", i), requests(1))
 		b.For(now, "m")
 	}
 	is.True(len(b.members.by) <= 10)
@@ -81,13 +81,13 @@
 // Every gateway gets each part once, and none gets back what it reported itself.
 func TestPartLog(t *testing.T) {
 	is := is.New(t)
-	n := NewNews()
+	n := NewPartLog()
 	n.Add("a", []Part{{Key: 1}})
 	n.Add("b", []Part{{Key: 2}})
 	n.Add("", []Part{{Key: 3}})
 	is.Equal(n.For("a"), []Part{{Key: 2}, {Key: 3}})
 	is.Equal(len(n.For("a")), 0)
-	is.Equal(n.Beyond("r"), []Part{{Key: 1}, {Key: 2}}) // not what another zone reported
+	is.Equal(n.ForOtherZone("r"), []Part{{Key: 1}, {Key: 2}}) // not what another zone reported
 	n.Add("b", []Part{{Key: 4}})
 	is.Equal(n.For("a"), []Part{{Key: 4}})
 	is.Equal(n.For("c"), []Part{{Key: 1}, {Key: 2}, {Key: 3}, {Key: 4}}) // a gateway that asks for the first time
@@ -96,7 +96,7 @@
 // The oldest entries are discarded, and a long list is sent in several messages.
 func TestPartLogIsBounded(t *testing.T) {
 	is := is.New(t)
-	n := NewNews()
+	n := NewPartLog()
 	for i := range 2 * maxLogEntries {
 		n.Add("a", []Part{{Key: uint64(i)}})
 	}
@@ -107,7 +107,7 @@
 		if len(parts) == 0 {
 			break
 		}
-		is.True(len(parts) <= NewsMost)
+		is.True(len(parts) <= MaxPartsPerMessage)
 		got += len(parts)
 	}
 	is.Equal(got, maxLogEntries)
@@ -119,12 +119,12 @@
 	tests := []struct {
 		members int
 		every   time.Duration
-	}{{0, Every}, {1, Every}, {16, Every}, {17, 2 * Every}, {115, 8 * Every}}
+	}{{0, BaseInterval}, {1, BaseInterval}, {16, BaseInterval}, {17, 2 * BaseInterval}, {115, 8 * BaseInterval}}
 	for _, tt := range tests {
 		is := is.New(t)
-		is.Equal(EveryOf(tt.members), tt.every)
+		is.Equal(MemberInterval(tt.members), tt.every)
 		b := New()
-		b.Expect(PaceOf(tt.members, tt.members, false))
+		b.SetIntervals(IntervalsFor(tt.members, tt.members, false))
 		is.True(b.Keep() >= 3*tt.every)
 	}
 }
@@ -137,19 +137,19 @@
 	tests := []struct {
 		zone, cell int
 		busy       bool
-		want       Pace
+		want       Intervals
 		age        time.Duration
 	}{
-		{1, 1, false, Pace{Members: 100 * ms, Zones: 100 * ms}, 100 * ms},
-		{31, 31, false, Pace{Members: 200 * ms, Zones: 200 * ms}, 200 * ms},
-		{31, 31, true, Pace{Members: 200 * ms, Zones: 200 * ms}, 200 * ms},
-		{80, 27, false, Pace{Members: 200 * ms, Cells: 100 * ms, Zones: 500 * ms}, 550 * ms},
-		{80, 27, true, Pace{Members: 200 * ms, Cells: 100 * ms, Zones: 100 * ms}, 350 * ms},
-		{160, 32, true, Pace{Members: 200 * ms, Cells: 100 * ms, Zones: 100 * ms}, 350 * ms},
+		{1, 1, false, Intervals{Members: 100 * ms, Zones: 100 * ms}, 100 * ms},
+		{31, 31, false, Intervals{Members: 200 * ms, Zones: 200 * ms}, 200 * ms},
+		{31, 31, true, Intervals{Members: 200 * ms, Zones: 200 * ms}, 200 * ms},
+		{80, 27, false, Intervals{Members: 200 * ms, Cells: 100 * ms, Zones: 500 * ms}, 550 * ms},
+		{80, 27, true, Intervals{Members: 200 * ms, Cells: 100 * ms, Zones: 100 * ms}, 350 * ms},
+		{160, 32, true, Intervals{Members: 200 * ms, Cells: 100 * ms, Zones: 100 * ms}, 350 * ms},
 	}
 	for _, tt := range tests {
 		is := is.New(t)
-		p := PaceOf(tt.zone, tt.cell, tt.busy)
+		p := IntervalsFor(tt.zone, tt.cell, tt.busy)
 		is.Equal(p.Age(), tt.age)
 		is.True(p.retention() >= 3*p.zonesIdle)
 		p.zonesIdle = 0
@@ -162,20 +162,20 @@
 func TestCells(t *testing.T) {
 	is := is.New(t)
 	zone, cell := New(), New()
-	zone.Own(requests(1))
-	zone.TakeMember(t0, "m", requests(2))
-	zone.TakeZone(t0, "z", requests(4))
-	cell.Own(requests(8))
-	cell.TakeMember(t0, "n", requests(16))
-	zone.TakeCell(t0, "cell", cell.Zone(t0), 2)
+	zone.SetOwn(requests(1))
+	zone.RecordMember(t0, "m", requests(2))
+	zone.RecordZone(t0, "z", requests(4))
+	cell.SetOwn(requests(8))
+	cell.RecordMember(t0, "n", requests(16))
+	zone.RecordCell(t0, "cell", cell.Zone(t0), 2)
 	is.Equal(zone.Zone(t0)[7].Requests, 1+2+8+16)
-	cell.TakeZone(t0, "beyond", zone.For(t0, "cell"))
+	cell.RecordZone(t0, "beyond", zone.For(t0, "cell"))
 	is.Equal(cell.For(t0, "n")[7].Requests, 1+2+4+8)
 	others, ok := cell.Others(t0, true)
 	is.True(ok)
 	is.Equal(others[7].Requests, 1+2+4+16)
 	is.Equal(zone.For(t0, "m")[7].Requests, 1+4+8+16)
-	zone.TakeCell(t0, "cell", Loads{7: {Gone: 100}}, 2)
+	zone.RecordCell(t0, "cell", Loads{7: {Gone: 100}}, 2)
 	is.Equal(zone.Zone(t0)[7].Gone, 2) // capped at the number of gateways
 }
 
@@ -183,11 +183,11 @@
 func TestOneVotePerGateway(t *testing.T) {
 	is := is.New(t)
 	relay := New()
-	relay.TakeMember(t0, "m", Loads{7: {Gone: 100}})
+	relay.RecordMember(t0, "m", Loads{7: {Gone: 100}})
 	is.Equal(relay.Zone(at(1))[7].Gone, 1)
-	relay.TakeMember(t0, "n", Loads{7: {Gone: 1}})
+	relay.RecordMember(t0, "n", Loads{7: {Gone: 1}})
 	is.Equal(relay.Zone(at(1))[7].Gone, 2)
-	relay.TakeMember(at(2), "n", Loads{})
+	relay.RecordMember(at(2), "n", Loads{})
 	is.Equal(relay.Zone(at(3))[7].Gone, 1)
 }
 
@@ -196,7 +196,7 @@
 func TestLoadsWithoutVotes(t *testing.T) {
 	is := is.New(t)
 	l := Loads{7: {Requests: 3, Gone: 1, Closed: 1, Failing: 1, Served: 1}}
-	is.Equal(l.WithoutVerdicts()[7], Load{Requests: 3})
+	is.Equal(l.WithoutVotes()[7], Load{Requests: 3})
 	is.Equal(l[7].Failing, 1) // the original is unchanged
 }
 
@@ -212,16 +212,16 @@
 			exchangedAt := t0
 			for ms := range 3000 {
 				now := at(ms)
-				asks := func(book *Book, zone string) bool { return !book.Swapped(now, zone, every) }
+				asks := func(book *Book, zone string) bool { return !book.RecentlyExchanged(now, zone, every) }
 				if (ms%100 == 0 && asks(a, "b")) || (ms%100 == 10*offset && asks(b, "a")) {
 					calls++
-					a.TakeZone(now, "b", requests(1))
-					b.TakeZone(now, "a", requests(1))
+					a.RecordZone(now, "b", requests(1))
+					b.RecordZone(now, "a", requests(1))
 					oldest = max(oldest, now.Sub(exchangedAt))
 					exchangedAt = now
 				}
 			}
-			is.True(calls <= 40) // 60 when both ask
+			is.True(calls <= 40) // 60 if both called
 			is.True(oldest <= every)
 		})
 	}
--- a/internal/core/occupancy/part_log.go
+++ b/internal/core/occupancy/part_log.go
@@ -15,8 +15,9 @@
 const (
 	// maxLogEntries is the number of parts that a gateway keeps to pass on.
 	maxLogEntries = 4096
-	// NewsMost is the maximum number of parts in one message; each takes about 20 bytes.
-	NewsMost = 400
+	// MaxPartsPerMessage is the maximum number of parts in one message; each takes about
+	// 20 bytes.
+	MaxPartsPerMessage = 400
 )
 
 // entry is a part with the origin of the report.
@@ -27,9 +28,9 @@
 	from string
 }
 
-// News is a bounded log of the cached parts that gateways have reported, in order of
+// PartLog is a bounded log of the cached parts that gateways have reported, in order of
 // arrival. It is not safe for concurrent use.
-type News struct {
+type PartLog struct {
 	entries []entry
 	// firstIndex is the sequence number of the oldest retained entry.
 	firstIndex uint64
@@ -37,12 +38,12 @@
 	cursors map[string]uint64
 }
 
-// NewNews returns an empty log.
-func NewNews() *News { return &News{cursors: make(map[string]uint64)} }
+// NewPartLog returns an empty log.
+func NewPartLog() *PartLog { return &PartLog{cursors: make(map[string]uint64)} }
 
 // Add appends parts that a gateway of the availability zone reported; an empty address
 // means another zone.
-func (n *News) Add(from string, parts []Part) {
+func (n *PartLog) Add(from string, parts []Part) {
 	for _, p := range parts {
 		n.entries = append(n.entries, entry{part: p, from: from})
 	}
@@ -55,7 +56,7 @@
 
 // dropStaleCursors drops the cursors of gateways that have not asked for so long that
 // entries which they had not seen were discarded.
-func (n *News) dropStaleCursors() {
+func (n *PartLog) dropStaleCursors() {
 	for address, at := range n.cursors {
 		if at < n.firstIndex {
 			delete(n.cursors, address)
@@ -65,22 +66,22 @@
 
 // For returns the next parts that a gateway of the availability zone has not been sent,
 // except those that it reported itself.
-func (n *News) For(address string) []Part {
+func (n *PartLog) For(address string) []Part {
 	return n.unsent(address, func(e entry) bool { return e.from != address })
 }
 
-// Beyond returns the next parts of this availability zone that a gateway of another zone
-// has not been sent.
-func (n *News) Beyond(address string) []Part {
+// ForOtherZone returns the next parts of this availability zone that a gateway of another
+// zone has not been sent.
+func (n *PartLog) ForOtherZone(address string) []Part {
 	return n.unsent(address, func(e entry) bool { return e.from != "" })
 }
 
 // unsent returns the next wanted parts for the gateway and advances its cursor.
-func (n *News) unsent(address string, wanted func(entry) bool) []Part {
+func (n *PartLog) unsent(address string, wanted func(entry) bool) []Part {
 	at := max(n.cursors[address], n.firstIndex)
 	end := n.firstIndex + uint64(len(n.entries))
 	var parts []Part
-	for at < end && len(parts) < NewsMost {
+	for at < end && len(parts) < MaxPartsPerMessage {
 		if e := n.entries[at-n.firstIndex]; wanted(e) {
 			parts = append(parts, e.part)
 		}
--- a/internal/core/occupancy/report_set_test.go
+++ b/internal/core/occupancy/report_set_test.go
@@ -51,7 +51,7 @@
 		now := at(7 * i)
 		from := fmt.Sprint("m", rng.IntN(members))
 		l := randomLoads(rng, upstreams, rng.IntN(6))
-		b.TakeMember(now, from, l)
+		b.RecordMember(now, from, l)
 		reports[from] = report{loads: l, at: now}
 		want := make(Loads)
 		except := fmt.Sprint("m", rng.IntN(members))
@@ -72,14 +72,14 @@
 			rng := rand.New(rand.NewPCG(1, 2))
 			upstreams := 12 * n
 			book := New()
-			book.Expect(PaceOf(n, n, false))
+			book.SetIntervals(IntervalsFor(n, n, false))
 			var sent []Loads
 			for i := range n {
 				sent = append(sent, randomLoads(rng, upstreams, 5))
-				book.TakeMember(t0, fmt.Sprint("m", i), sent[i])
+				book.RecordMember(t0, fmt.Sprint("m", i), sent[i])
 			}
 			for z := range 4 {
-				book.TakeZone(t0, fmt.Sprint("z", z), randomLoads(rng, upstreams, upstreams))
+				book.RecordZone(t0, fmt.Sprint("z", z), randomLoads(rng, upstreams, upstreams))
 			}
 			names := make([]string, n)
 			for i := range names {
@@ -87,7 +87,7 @@
 			}
 			b.ResetTimer()
 			for i := range b.N {
-				book.TakeMember(t0, names[i%n], sent[i%n])
+				book.RecordMember(t0, names[i%n], sent[i%n])
 				book.For(t0.Add(time.Millisecond), names[i%n])
 			}
 		})
--- a/internal/core/overload/overload.go
+++ b/internal/core/overload/overload.go
@@ -32,8 +32,8 @@
 //
 // # Usage
 //
-//	if comeBack := queue.TurnAway(now, overload.Ask{Target: target, Wait: wait}); comeBack > 0 {
-//		refuse(comeBack)
+//	if retryAfter := queue.CheckAdmission(now, overload.AdmissionRequest{Target: target, Wait: wait}); retryAfter > 0 {
+//		refuse(retryAfter)
 //	}
 //	queue.Began(now, waited)
 package overload
@@ -87,8 +87,8 @@
 	minRetryAfter = 50 * time.Millisecond
 )
 
-// Ask is a request of the least urgent tier of a pool.
-type Ask struct {
+// AdmissionRequest is a request of the least urgent tier of a pool.
+type AdmissionRequest struct {
 	// Target is the time limit for its first event.
 	Target time.Duration
 	// Wait is its expected wait until prefill at the best upstream that was found.
@@ -96,10 +96,10 @@
 	// waiting; it is called only if it decides.
 	Wait    time.Duration
 	Pending func() time.Duration
-	// End is the expected time from now until its answer is complete, and Left how long
-	// its caller still waits; both are 0 if unknown.
-	End  time.Duration
-	Left time.Duration
+	// Completion is the expected time from now until its answer is complete, and Left how
+	// long its caller still waits; both are 0 if unknown.
+	Completion time.Duration
+	TimeLeft   time.Duration
 	// Organisation is the caller's organisation, Tokens the number of tokens that the
 	// engine would have to prefill.
 	Organisation uint64
@@ -129,9 +129,9 @@
 	q.ownWaitAt = now
 }
 
-// TurnAway returns the time after which the caller should retry, or 0 if the request is
-// admitted.
-func (q *Queue) TurnAway(now time.Time, a Ask) time.Duration {
+// CheckAdmission returns the time after which the caller should retry, or 0 if the
+// request is admitted.
+func (q *Queue) CheckAdmission(now time.Time, a AdmissionRequest) time.Duration {
 	if a.Target <= 0 {
 		return 0
 	}
@@ -148,18 +148,18 @@
 
 // lateBy is by how much the answer would be complete too late while a queue grows; 0 or
 // less if it would be in time.
-func (q *Queue) lateBy(a Ask) time.Duration {
-	if q.meanWait <= growingThreshold || a.Left <= 0 {
+func (q *Queue) lateBy(a AdmissionRequest) time.Duration {
+	if q.meanWait <= growingThreshold || a.TimeLeft <= 0 {
 		return 0
 	}
-	return a.End - fraction(completionShare, a.Left)
+	return a.Completion - fraction(completionShare, a.TimeLeft)
 }
 
 // Standing reports whether there is a standing queue.
 func (q *Queue) Standing() bool { return q.meanWait > standingThreshold }
 
 // waitShare is the part of its target that a request may wait.
-func (q *Queue) waitShare(now time.Time, a Ask) float64 {
+func (q *Queue) waitShare(now time.Time, a AdmissionRequest) float64 {
 	switch {
 	case !q.shares.aboveLevel(now, a.Organisation):
 		return lightShare
@@ -171,7 +171,7 @@
 }
 
 // observeWait adds the expected wait of a request to the mean.
-func (q *Queue) observeWait(now time.Time, a Ask) {
+func (q *Queue) observeWait(now time.Time, a AdmissionRequest) {
 	wait := min(1, float64(a.Wait)/float64(a.Target))
 	if q.updatedAt.IsZero() {
 		q.updatedAt = now
@@ -183,7 +183,7 @@
 
 // ownWaitsLong reports whether such requests of this gateway wait long for their first
 // event, judged by those that had it recently or those that still wait for it.
-func (q *Queue) ownWaitsLong(now time.Time, a Ask) bool {
+func (q *Queue) ownWaitsLong(now time.Time, a AdmissionRequest) bool {
 	enough := fraction(ownWaitShare*standingShare, a.Target)
 	recent := !q.ownWaitAt.IsZero() && now.Sub(q.ownWaitAt) <= ownWaitRetention
 	return (recent && q.ownWait >= enough) || a.Pending() >= enough
--- a/internal/core/overload/overload_test.go
+++ b/internal/core/overload/overload_test.go
@@ -12,15 +12,15 @@
 func at(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 
 // request has a target of a second.
-func request(wait, pending time.Duration) Ask {
-	return Ask{Target: time.Second, Wait: wait, Pending: func() time.Duration { return pending }, Tokens: 1000}
+func request(wait, pending time.Duration) AdmissionRequest {
+	return AdmissionRequest{Target: time.Second, Wait: wait, Pending: func() time.Duration { return pending }, Tokens: 1000}
 }
 
 // longRequest has an answer that takes the given time, and a caller that waits for four
 // seconds.
-func longRequest(end time.Duration) Ask {
+func longRequest(end time.Duration) AdmissionRequest {
 	a := request(420*time.Millisecond, time.Second)
-	a.End, a.Left = end, 4*time.Second
+	a.Completion, a.TimeLeft = end, 4*time.Second
 	return a
 }
 
@@ -32,7 +32,7 @@
 		name string
 		// earlier are the waits of previous requests, one every 100 ms.
 		earlier []time.Duration
-		request Ask
+		request AdmissionRequest
 		// ownWait is the measured wait of a previous request.
 		ownWait time.Duration
 		reject  bool
@@ -51,7 +51,7 @@
 		{name: "a long answer while a queue grows", earlier: repeat(20, 420*ms), request: longRequest(3300 * ms), reject: true},
 		{name: "a short answer while a queue grows", earlier: repeat(20, 420*ms), request: longRequest(3100 * ms)},
 		{name: "a long answer in a burst", request: longRequest(9 * time.Second)},
-		{name: "no target", request: Ask{Wait: time.Minute, Pending: func() time.Duration { return time.Minute }}},
+		{name: "no target", request: AdmissionRequest{Wait: time.Minute, Pending: func() time.Duration { return time.Minute }}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -60,12 +60,12 @@
 			now := t0
 			for _, wait := range tt.earlier {
 				now = now.Add(100 * ms)
-				q.TurnAway(now, request(wait, 0))
+				q.CheckAdmission(now, request(wait, 0))
 			}
 			if tt.ownWait > 0 {
 				q.Began(now, tt.ownWait)
 			}
-			is.Equal(q.TurnAway(now.Add(100*ms), tt.request) > 0, tt.reject)
+			is.Equal(q.CheckAdmission(now.Add(100*ms), tt.request) > 0, tt.reject)
 		})
 	}
 }
@@ -86,13 +86,13 @@
 		var q Queue
 		a := request(2000*time.Millisecond, 2*time.Second)
 		a.Hash = 7919 * i
-		d := q.TurnAway(t0, a)
+		d := q.CheckAdmission(t0, a)
 		is.True(d >= time.Second && d <= 2*time.Second)
 		distinct[d] = true
 	}
 	is.True(len(distinct) > 50)
 	var q Queue
-	is.True(q.TurnAway(t0, request(1001*time.Millisecond, time.Second)) >= minRetryAfter)
+	is.True(q.CheckAdmission(t0, request(1001*time.Millisecond, time.Second)) >= minRetryAfter)
 }
 
 // Old measurements are ignored.
@@ -100,6 +100,6 @@
 	is := is.New(t)
 	var q Queue
 	q.Began(t0, time.Second)
-	is.True(q.TurnAway(at(4900), request(time.Minute, 0)) > 0)
-	is.Equal(q.TurnAway(at(5100), request(time.Minute, 0)), time.Duration(0))
+	is.True(q.CheckAdmission(at(4900), request(time.Minute, 0)) > 0)
+	is.Equal(q.CheckAdmission(at(5100), request(time.Minute, 0)), time.Duration(0))
 }
--- a/internal/core/overload/shares_test.go
+++ b/internal/core/overload/shares_test.go
@@ -26,11 +26,11 @@
 			}
 			for range n {
 				requested[kind]++
-				a := Ask{
+				a := AdmissionRequest{
 					Target: time.Second, Pending: func() time.Duration { return time.Second }, Organisation: uint64(o), Tokens: 1000,
 					Wait: time.Duration(backlog[0] / readPerS * float64(time.Second)),
 				}
-				if q.TurnAway(now, a) == 0 {
+				if q.CheckAdmission(now, a) == 0 {
 					admitted[kind]++
 					backlog[0] += 1000
 				}
--- a/internal/core/warmup/warmup.go
+++ b/internal/core/warmup/warmup.go
@@ -12,9 +12,9 @@
 //
 // # Usage
 //
-//	split := warmup.SplitOf(bounds)
+//	split := warmup.NewSplit(bounds)
 //	s = s.With(coldUntil)
-//	if !s.Cold(now) || (holder && s.Free(now)) {
+//	if !s.Cold(now) || (holder && s.MaySend(now)) {
 //		s = s.Sent(now, split)
 //	}
 package warmup
@@ -56,8 +56,8 @@
 	Every time.Duration
 }
 
-// SplitOf returns the split that keeps the bounds.
-func SplitOf(b Bounds) Split {
+// NewSplit returns the split that keeps the bounds.
+func NewSplit(b Bounds) Split {
 	policy := quota.Policy{Used: usedShare, Views: holderSets, Holders: maxHolders}
 	split := policy.Divide(quota.Bound{Rate: b.PerSecond, Most: b.Most, Window: time.Second})
 	if split.Holders == 0 {
@@ -84,8 +84,8 @@
 // Cold reports whether the upstream is cold.
 func (s State) Cold(now time.Time) bool { return now.Before(s.coldUntil) }
 
-// Free reports whether a holder may send a request now.
-func (s State) Free(now time.Time) bool { return !now.Before(s.nextSendAt) }
+// MaySend reports whether a holder may send a request now.
+func (s State) MaySend(now time.Time) bool { return !now.Before(s.nextSendAt) }
 
 // Sent returns the state after a holder sent a request.
 func (s State) Sent(now time.Time, split Split) State {
--- a/internal/core/warmup/warmup_test.go
+++ b/internal/core/warmup/warmup_test.go
@@ -29,7 +29,7 @@
 func TestSplit(t *testing.T) {
 	is := is.New(t)
 	for _, b := range bounds {
-		s := warmup.SplitOf(b)
+		s := warmup.NewSplit(b)
 		is.True(s.Holders >= 1)
 		rate := float64(s.Holders) / s.Every.Seconds()
 		is.True(rate <= b.PerSecond)
@@ -38,7 +38,7 @@
 			is.True(2*(float64(s.Holders)+rate) <= b.Most+1e-6)
 		}
 	}
-	is.Equal(warmup.SplitOf(warmup.Bounds{PerSecond: 0.5, Most: 0.9}), warmup.Split{}) // not even one request fits
+	is.Equal(warmup.NewSplit(warmup.Bounds{PerSecond: 0.5, Most: 0.9}), warmup.Split{}) // not even one request fits
 }
 
 // An earlier end never shortens the cold period.
@@ -108,7 +108,7 @@
 // flood lets every gateway send whenever it may for three seconds, and returns the
 // arrivals.
 func flood(list []*fleet.Fleet, from time.Time, key uint64, b warmup.Bounds) []time.Time {
-	split := warmup.SplitOf(b)
+	split := warmup.NewSplit(b)
 	states := make([]warmup.State, len(list))
 	holds := make([]bool, len(list))
 	for i, f := range list {
@@ -118,7 +118,7 @@
 	for ms := range 3000 {
 		now := from.Add(time.Duration(ms) * time.Millisecond)
 		for i := range list {
-			if holds[i] && states[i].Free(now) {
+			if holds[i] && states[i].MaySend(now) {
 				states[i] = states[i].Sent(now, split)
 				arrivals = append(arrivals, now)
 			}
--- a/internal/edge/gatewayd/limit_test.go
+++ b/internal/edge/gatewayd/limit_test.go
@@ -107,7 +107,7 @@
 	w := newWorld(t, 2, func(int, standin.Request) standin.Reply { return standin.Reply{Body: "done"} })
 	limited := w.replicas[0]
 	closed := make(notice.Closed)
-	state := notice.State{}.With(time.Now(), notice.Notice{Limit: notice.Limit{Named: true, PerSecond: 1}})
+	state := notice.State{}.With(time.Now(), notice.Notice{Limit: notice.Limit{Announced: true, PerSecond: 1}})
 	w.server.control.Must(func(now time.Time) {
 		for _, in := range w.server.roster.Current(now) {
 			if in.ID == limited.ID {
@@ -166,13 +166,13 @@
 	// The second one has just started, and holds nothing for a while.
 	second.control.Must(func(now time.Time) {
 		for _, in := range second.roster.Current(now) {
-			second.table.Notice(now, in, notice.Notice{Limit: notice.Limit{Named: true, PerSecond: 1000}, SentAt: now})
+			second.table.Notice(now, in, notice.Notice{Limit: notice.Limit{Announced: true, PerSecond: 1000}, SentAt: now})
 		}
 		second.table.SetColdLimits(balance.ColdLimits{}, func(time.Time, uint64, int) bool { return false })
 	})
 	first.control.Must(func(now time.Time) {
 		for _, in := range first.roster.Current(now) {
-			first.table.Notice(now, in, notice.Notice{Limit: notice.Limit{Named: true, PerSecond: 1000}, SentAt: now})
+			first.table.Notice(now, in, notice.Notice{Limit: notice.Limit{Announced: true, PerSecond: 1000}, SentAt: now})
 		}
 	})
 	w.caller = standin.NewCaller(t, second.CallersAddress())
@@ -189,13 +189,13 @@
 	w := newWorld(t, 1, func(int, standin.Request) standin.Reply { return standin.Reply{Body: "done"} })
 	free := func(now time.Time, start uint64) {
 		for _, address := range []string{"a:1", "b:1"} {
-			w.server.occupancy.TakeMember(now, address, occupancy.Loads{start: {Free: 1}})
+			w.server.occupancy.RecordMember(now, address, occupancy.Loads{start: {Free: 1}})
 		}
 		w.server.takeOthers(now, true)
 	}
 	w.server.control.Must(func(now time.Time) {
 		in := w.server.roster.Current(now)[0]
-		w.server.table.Notice(now, in, notice.Notice{Limit: notice.Limit{Named: true}, SentAt: now})
+		w.server.table.Notice(now, in, notice.Notice{Limit: notice.Limit{Announced: true}, SentAt: now})
 		w.server.publishClosed(now)
 	})
 	is.Equal(w.call("/write/1").Status, 503)
--- a/internal/edge/gatewayd/loads.go
+++ b/internal/edge/gatewayd/loads.go
@@ -25,14 +25,14 @@
 // availability zone tells those of the others what its zone has, the relay of a cell
 // tells that of its zone what its cell has, and everybody else tells a relay.
 func (s *Server) tellLoop(ctx context.Context) error {
-	pause := occupancy.Every
+	pause := occupancy.BaseInterval
 	for loop.Pause(ctx, pause) {
 		var duty fleet.Duty
-		var pace occupancy.Pace
+		var pace occupancy.Intervals
 		s.control.Must(func(now time.Time) {
 			duty = s.fleet.Duty(now)
-			pace = occupancy.PaceOf(s.fleet.ZoneSize(now), s.fleet.CellSize(now), s.table.Busy(now))
-			s.occupancy.Expect(pace)
+			pace = occupancy.IntervalsFor(s.fleet.ZoneSize(now), s.fleet.CellSize(now), s.table.Busy(now))
+			s.occupancy.SetIntervals(pace)
 		})
 		switch {
 		case duty.To == "":
@@ -58,7 +58,7 @@
 		s.kept.Add(s.PeersAddress(), s.table.News())
 		req.Gateways = count32(s.fleet.CellSize(now))
 		req.Loads = encodeLoads(s.occupancy.Zone(now))
-		req.Parts = encodeParts(s.kept.Beyond(address))
+		req.Parts = encodeParts(s.kept.ForOtherZone(address))
 		req.Suspects = s.suspects.Tell(now, address, false)
 	})
 	resp, ok := s.tell(ctx, address, req)
@@ -81,7 +81,7 @@
 		return
 	}
 	s.control.Must(func(now time.Time) {
-		s.occupancy.TakeAll(now, decodeLoads(resp.GetLoads()))
+		s.occupancy.RecordOthers(now, decodeLoads(resp.GetLoads()))
 		s.table.OthersRead(now, decodeParts(resp.GetParts()))
 		s.suspects.Hear(now, address, resp.GetSuspects(), 0)
 		s.takeOthers(now, false)
@@ -94,7 +94,7 @@
 	var to []string
 	s.control.Must(func(now time.Time) {
 		for _, r := range s.fleet.Relays(now) {
-			if !s.occupancy.Swapped(now, r.Zone, every) {
+			if !s.occupancy.RecentlyExchanged(now, r.Zone, every) {
 				to = append(to, r.Address)
 			}
 		}
@@ -106,7 +106,7 @@
 		req := &gladegaugev1.TellLoadsRequest{Gateway: s.PeersAddress(), Zone: s.o.Settings.Zone}
 		s.control.Must(func(now time.Time) {
 			req.Loads = encodeLoads(s.occupancy.Zone(now))
-			req.Parts = encodeParts(s.kept.Beyond(address))
+			req.Parts = encodeParts(s.kept.ForOtherZone(address))
 			req.Suspects = s.suspects.Tell(now, address, false)
 		})
 		resp, ok := s.tell(ctx, address, req)
@@ -120,7 +120,7 @@
 // takeAnswer takes what another relay answered, as the word of the availability zone. It
 // runs in the control goroutine.
 func (s *Server) takeAnswer(now time.Time, address, zone string, resp *gladegaugev1.TellLoadsResponse) {
-	s.occupancy.TakeZone(now, zone, decodeLoads(resp.GetLoads()))
+	s.occupancy.RecordZone(now, zone, decodeLoads(resp.GetLoads()))
 	s.takePartsOfZone(now, decodeParts(resp.GetParts()))
 	s.suspects.Hear(now, address, resp.GetSuspects(), 0)
 	s.takeOthers(now, true)
@@ -160,7 +160,7 @@
 			s.publishClosed(now)
 		}
 		for _, l := range doubts.Limited {
-			s.log.Info().Str("upstream", l.ID).Bool("limited", l.Named).Float64("per_second", l.PerSecond).
+			s.log.Info().Str("upstream", l.ID).Bool("limited", l.Announced).Float64("per_second", l.PerSecond).
 				Int("named_to", l.Votes.Limited).Int("free_to", l.Votes.Free).Dur("told_age", s.occupancy.Age()).
 				Msg("limit of an upstream changes by the word of others")
 		}
@@ -177,9 +177,9 @@
 // takeOwn lets the sums see what this gateway itself has. A relay is told of others' more
 // often than that changes much. It runs in the control goroutine.
 func (s *Server) takeOwn(now time.Time) {
-	if now.Sub(s.ownAt) >= occupancy.Every {
+	if now.Sub(s.ownAt) >= occupancy.BaseInterval {
 		s.ownAt = now
-		s.occupancy.Own(s.table.Loads(now))
+		s.occupancy.SetOwn(s.table.Loads(now))
 	}
 }
 
@@ -193,26 +193,26 @@
 	s.control.Must(func(now time.Time) {
 		s.takeOwn(now)
 		if zone := req.Msg.GetZone(); zone != "" {
-			s.occupancy.TakeZone(now, zone, loads)
+			s.occupancy.RecordZone(now, zone, loads)
 			s.takePartsOfZone(now, parts)
 			s.suspects.Hear(now, from, req.Msg.GetSuspects(), 0)
 			resp.Suspects = s.suspects.Tell(now, from, false)
 			resp.Loads = encodeLoads(s.occupancy.Zone(now))
-			resp.Parts = encodeParts(s.kept.Beyond(from))
+			resp.Parts = encodeParts(s.kept.ForOtherZone(from))
 			return
 		}
 		s.table.OthersRead(now, parts)
 		if !s.fleet.IsNeighbour(now, from) {
 			// A gateway that tells several relays would be as many witnesses: one that lied
 			// put a sound replica last for 1, 2 and 4 s, one after the other.
-			loads = loads.WithoutVerdicts()
+			loads = loads.WithoutVotes()
 		}
 		witness := xxhash.Sum64String(from)
 		if n := int(req.Msg.GetGateways()); n > 1 && s.fleet.IsCellRelay(now, from) {
-			s.occupancy.TakeCell(now, from, loads, min(n, fleet.CellMost))
+			s.occupancy.RecordCell(now, from, loads, min(n, fleet.CellMost))
 			witness = 0
 		} else {
-			s.occupancy.TakeMember(now, from, loads)
+			s.occupancy.RecordMember(now, from, loads)
 		}
 		s.kept.Add(from, parts)
 		s.suspects.Hear(now, from, req.Msg.GetSuspects(), witness)
--- a/internal/edge/gatewayd/loads_test.go
+++ b/internal/edge/gatewayd/loads_test.go
@@ -155,7 +155,7 @@
 		}
 		p.control.Must(func(now time.Time) {
 			w.is.Equal(p.occupancy.Zone(now)[upstream].Gone, want)
-			p.occupancy.TakeMember(now, m.Address, nil)
+			p.occupancy.RecordMember(now, m.Address, nil)
 		})
 	}
 	w.is.True(relays >= 3) // four cells, one of them perhaps this gateway's own
--- a/internal/edge/gatewayd/notice.go
+++ b/internal/edge/gatewayd/notice.go
@@ -29,7 +29,7 @@
 func (x *request) notice(choice balance.Choice, r *http.Response) {
 	n := platform.DecodeNotice(r.StatusCode, r.Header)
 	s := x.server
-	if !n.Any() && !(*s.closed.Load()).SaidLimited(choice.Start()) {
+	if !n.Any() && !(*s.closed.Load()).LimitReported(choice.Start()) {
 		return
 	}
 	if r.StatusCode >= http.StatusOK && x.owns(r) {
@@ -58,15 +58,15 @@
 		line(noticeLeaving).Msg("upstream says that it leaves")
 	}
 	if said.Rests {
-		rest := said.State.RestUntil().Sub(s.now())
+		rest := said.State.BackoffUntil().Sub(s.now())
 		line(noticeRest).Dur("asked", n.Rest).Dur("rest", rest).Msg("upstream asks for rest")
 	}
 	if said.Limits {
-		limit := said.State.Named()
-		line(noticeLimit).Bool("limited", limit.Named).Float64("per_second", limit.PerSecond).Msg("upstream changes its limit")
+		limit := said.State.Announced()
+		line(noticeLimit).Bool("limited", limit.Announced).Float64("per_second", limit.PerSecond).Msg("upstream changes its limit")
 	}
 	if said.Unreadable {
-		text := n.Unread[:min(len(n.Unread), unreadMost)]
+		text := n.Unparsed[:min(len(n.Unparsed), unreadMost)]
 		line(noticeUnread).Str("text", text).Msg("upstream says what cannot be read")
 	}
 }
--- a/internal/edge/gatewayd/server.go
+++ b/internal/edge/gatewayd/server.go
@@ -99,7 +99,7 @@
 	// ownAt is when the sums saw last what this gateway itself has.
 	ownAt time.Time
 	// kept is what gateways told of the prompts that engines keep.
-	kept *occupancy.News
+	kept *occupancy.PartLog
 	// promised are the operators' bounds of the latest settings.
 	promised platform.Bounds
 	// gateways is the number of gateways that the retry budget is split over.
@@ -144,7 +144,7 @@
 		budgets:     make(map[string]*retry.Window),
 		fleet:       fleet.New(fleet.Member{Zone: o.Settings.Zone}),
 		occupancy:   occupancy.New(),
-		kept:        occupancy.NewNews(),
+		kept:        occupancy.NewPartLog(),
 		gateways:    assumedGateways,
 		sizeLogged:  assumedGateways,
 		promised:    o.Settings.Bounds,
--- a/internal/edge/upstream/upstream.go
+++ b/internal/edge/upstream/upstream.go
@@ -77,7 +77,7 @@
 	if h.Status != http.StatusServiceUnavailable {
 		return 0
 	}
-	rest, _ := notice.ParseRest(h.Headers.Get("Retry-After"))
+	rest, _ := notice.ParseRetryAfter(h.Headers.Get("Retry-After"))
 	return rest
 }
 
