--- a/internal/core/balance/outcome.go
+++ b/internal/core/balance/outcome.go
@@ -137,12 +137,12 @@
 		t.pool(u.Pool).learnOutput(r, a.Tokens)
 	case Refused:
 		u.heard(now)
-		if !u.said.BackingOff(now) {
+		if !u.said.InBackoff(now) {
 			t.refused(now, u, r, a.Load)
 		}
 	case Throttled:
 		u.heard(now)
-		if !u.said.BackingOff(now) && t.throttles(now, u, r) {
+		if !u.said.InBackoff(now) && t.throttles(now, u, r) {
 			t.refused(now, u, r, a.Load)
 		}
 	case Declined:
--- a/internal/core/balance/said.go
+++ b/internal/core/balance/said.go
@@ -101,13 +101,13 @@
 
 // present reports whether the upstream is there for new requests now.
 func (u *upstream) present(now time.Time) bool {
-	return u.open() && (!u.said.EverBackedOff() || !u.said.BackingOff(now))
+	return u.open() && (!u.said.BackoffRequested() || !u.said.InBackoff(now))
 }
 
 // spared reports whether others go first, as a rest of the upstream ended a moment ago.
 // The first request may be refused again, so that it is one of the least urgent.
 func (t *Table) spared(now time.Time, u *upstream, r Request) bool {
-	if !u.said.EverBackedOff() {
+	if !u.said.BackoffRequested() {
 		return false
 	}
 	return u.said.SlowStartLimited(now, t.gateways, u.unanswered()) || (!r.Least && u.said.Unproven(now))
@@ -116,7 +116,7 @@
 // flooded reports whether the upstream is back from its rest and has all that it can take
 // for now.
 func (u *upstream) flooded(now time.Time) bool {
-	return u.said.EverBackedOff() && u.said.SlowStartExhausted(now, u.unanswered())
+	return u.said.BackoffRequested() && u.said.SlowStartExhausted(now, u.unanswered())
 }
 
 // unanswered is the number of this gateway's requests there without a first word, of
--- a/internal/core/notice/notice.go
+++ b/internal/core/notice/notice.go
@@ -10,7 +10,7 @@
 //
 //	n := notice.Notice{Leaving: true}
 //	state = state.With(now, n)
-//	if state.Leaving() || state.BackingOff(now) {
+//	if state.Leaving() || state.InBackoff(now) {
 //		// send nothing
 //	}
 package notice
--- a/internal/core/notice/state.go
+++ b/internal/core/notice/state.go
@@ -21,7 +21,7 @@
 	slowStartSpacing  = 10 * time.Millisecond
 	maxSlowStartDelay = time.Second
 	// hardLimitFactor is the factor by which an upstream in slow start may exceed its
-	// limit while all others of its pool back off: without a limit, it would get all
+	// limit while all others of its pool are in backoff: without a limit, it would get all
 	// requests of the pool.
 	hardLimitFactor = 4
 )
@@ -72,7 +72,7 @@
 
 // Restricted reports whether the upstream is leaving, in backoff, or in slow start.
 func (s State) Restricted(now time.Time) bool {
-	return s.leaving || s.BackingOff(now) || s.inSlowStart(now)
+	return s.leaving || s.InBackoff(now) || s.inSlowStart(now)
 }
 
 // Unparsed is the text of the latest announcement that could not be parsed.
@@ -81,22 +81,22 @@
 // Leaving reports whether the upstream has announced that it is leaving.
 func (s State) Leaving() bool { return s.leaving }
 
-// BackingOff reports whether the upstream is in a requested backoff.
-func (s State) BackingOff(now time.Time) bool { return now.Before(s.backoffUntil) }
+// InBackoff reports whether the upstream has requested a backoff that has not ended.
+func (s State) InBackoff(now time.Time) bool { return now.Before(s.backoffUntil) }
 
 // Closed reports whether nothing may be sent to the upstream now.
-func (s State) Closed(now time.Time) bool { return s.leaving || s.BackingOff(now) }
+func (s State) Closed(now time.Time) bool { return s.leaving || s.InBackoff(now) }
 
 // BackoffUntil is when the last requested backoff ends; zero for none.
 func (s State) BackoffUntil() time.Time { return s.backoffUntil }
 
-// EverBackedOff reports whether the upstream has ever requested a backoff. Most never do,
-// and callers can skip the other checks for them.
-func (s State) EverBackedOff() bool { return !s.backoffUntil.IsZero() }
+// BackoffRequested reports whether the upstream has ever requested a backoff. Most never
+// do, and callers can skip the other checks for them.
+func (s State) BackoffRequested() bool { return !s.backoffUntil.IsZero() }
 
 // inSlowStart reports whether a backoff of the upstream has ended recently.
 func (s State) inSlowStart(now time.Time) bool {
-	return s.EverBackedOff() && !s.BackingOff(now) && now.Sub(s.backoffUntil) < slowStartDuration
+	return s.BackoffRequested() && !s.InBackoff(now) && now.Sub(s.backoffUntil) < slowStartDuration
 }
 
 // SlowStartLimited reports whether the upstream has reached its slow start limit: the
--- a/internal/core/notice/state_test.go
+++ b/internal/core/notice/state_test.go
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestBook(t *testing.T) {
+func TestStateCache(t *testing.T) {
 	is := is.New(t)
 	var b StateCache
 	leaving := State{}.With(t0, Notice{Leaving: true})
@@ -141,7 +141,7 @@
 			if s.Leaving() != leaving || s.Closed(now) != (leaving || now.Before(until)) {
 				t.Fatalf("%+v at %v: leaving %t until %v", s, now, leaving, until)
 			}
-			if s.BackingOff(now.Add(maxBackoff)) {
+			if s.InBackoff(now.Add(maxBackoff)) {
 				t.Fatalf("%+v backs off for more than an hour", s)
 			}
 		}
