--- a/internal/core/fleet/backoff.go
+++ b/internal/core/fleet/backoff.go
@@ -2,91 +2,93 @@
 
 import "time"
 
-// The load that this answers: the store answers a third of the gateways not at all, or
-// nobody. If each of them goes on asking, the calls grow with the fleet, though others
-// know what the store holds, or nobody can.
+// Load limit: when the store answers no gateway, or leaves a third of them without an
+// answer, calls must not grow with the size of the fleet. Other gateways already have the
+// store's state, or no gateway can get it.
 //
-// So a gateway whose call failed leaves the store to others for a while and tells those
-// who follow it, which turn to the next one in the order. While what is known is too old
-// nevertheless, the first of each availability zone and a few others ask the store,
-// whatever the size of the fleet; the rest ask each other, so that the first answer
-// reaches all of them. No bound rests on this: where all leave the store to others, package
-// reader lets each ask in its own turn.
+// A gateway whose call failed therefore backs off from the store and reports the backoff
+// to its followers, which move on to the next gateway in the order. While the known state
+// is nevertheless stale, the first gateway of each availability zone and a few others
+// query the store, regardless of the size of the fleet. The rest query each other, so
+// that the first answer reaches all of them. No staleness bound depends on this: when
+// every gateway backs off, package reader still lets each one query the store at its own
+// deadline.
 
 const (
-	// storeBackoff is how long a gateway leaves the store to others after its call failed.
+	// storeBackoff is how long a gateway avoids the store after a failed call.
 	storeBackoff = 3 * time.Second
-	// lateReaders is the number of gateways, beside the first of each availability
-	// zone, that ask the store in each drawEvery while what is known is too old.
-	lateReaders = 4
-	drawEvery   = time.Second
+	// extraStaleReaders is the expected number of gateways, in addition to the first of
+	// each availability zone, that query the store in each drawInterval while the known
+	// state is stale.
+	extraStaleReaders = 4
+	drawInterval      = time.Second
 )
 
-// StoreFailed notes that a call of this gateway to the store failed. It leaves the store
-// to others if it knows any.
+// StoreFailed records that a call of this gateway to the store failed, and starts the
+// backoff.
 func (f *Fleet) StoreFailed(now time.Time) { f.backoffUntil = now.Add(storeBackoff) }
 
-// StoreAnswered notes that the store answered this gateway.
+// StoreAnswered records that the store answered this gateway, and ends the backoff.
 func (f *Fleet) StoreAnswered() { f.backoffUntil = time.Time{} }
 
-// Backoff returns for how long this gateway leaves the store to others; 0 if it does not.
+// Backoff returns how much longer this gateway avoids the store; 0 if it does not.
 func (f *Fleet) Backoff(now time.Time) time.Duration { return max(0, f.backoffUntil.Sub(now)) }
 
-// BacksOff notes for how long the gateway at the address leaves the store to others.
+// BacksOff records for how long the gateway at the address avoids the store.
 func (f *Fleet) BacksOff(now time.Time, address string, d time.Duration) {
-	if h, ok := f.others[address]; ok {
-		h.backoffUntil = now.Add(min(d, storeBackoff))
+	if p, ok := f.peers[address]; ok {
+		p.backoffUntil = now.Add(min(d, storeBackoff))
 	}
 }
 
-// Next returns the gateway to ask next for what the store holds, chosen by the roll of a
-// dice where there is a choice; false if this one asks the store. Late tells that what is
-// known is too old to wait for the parent alone.
-func (f *Fleet) Next(now time.Time, late bool, roll uint64) (string, bool) {
-	if !late {
-		f.lateTurn = 0
-		return f.Source(now, roll)
+// Next returns the gateway to query next for the state of the store, selected at random
+// where several qualify; false if this gateway queries the store itself. The stale
+// argument is true if the known state is too old to wait for the parent alone.
+func (f *Fleet) Next(now time.Time, stale bool, random uint64) (string, bool) {
+	if !stale {
+		f.staleQueries = 0
+		return f.Source(now, random)
 	}
-	f.lateTurn++
-	if f.asksWhenLate(now, roll) {
+	f.staleQueries++
+	if f.readsStoreWhenStale(now, random) {
 		return "", false
 	}
-	if f.lateTurn%2 == 1 {
-		return f.Source(now, roll)
+	if f.staleQueries%2 == 1 {
+		return f.Source(now, random)
 	}
-	return f.anyReader(now, roll)
+	return f.randomReader(now, random)
 }
 
-// asksWhenLate reports whether this gateway is one of those that ask the store now, as
-// what is known is too old.
-func (f *Fleet) asksWhenLate(now time.Time, roll uint64) bool {
-	if f.Backoff(now) > 0 || f.asksSeedFirst(now) {
+// readsStoreWhenStale reports whether this gateway is one of those that query the store
+// now because the known state is stale.
+func (f *Fleet) readsStoreWhenStale(now time.Time, random uint64) bool {
+	if f.Backoff(now) > 0 || f.queriesSeedFirst(now) {
 		return false
 	}
-	return f.firstOfZone(now) || f.drawn(now, roll)
+	return f.leadsZone(now) || f.drawsStoreRead(now, random)
 }
 
-// drawn reports whether the roll of a dice lets this gateway ask the store, as one of a
-// few of the fleet.
-func (f *Fleet) drawn(now time.Time, roll uint64) bool {
-	if now.Sub(f.drawnAt) < drawEvery {
+// drawsStoreRead reports whether the random number selects this gateway as one of the few
+// that query the store. It draws at most once per drawInterval.
+func (f *Fleet) drawsStoreRead(now time.Time, random uint64) bool {
+	if now.Sub(f.lastDraw) < drawInterval {
 		return false
 	}
-	f.drawnAt = now
-	return roll%uint64(f.Known(now)) < lateReaders
+	f.lastDraw = now
+	return random%uint64(f.Known(now)) < extraStaleReaders
 }
 
-// anyReader returns another gateway that may reach the store, chosen by the roll of a dice;
-// any other one if all back off, and false if none is known.
-func (f *Fleet) anyReader(now time.Time, roll uint64) (string, bool) {
+// randomReader returns a random gateway that may reach the store. It returns any other
+// gateway if all of them back off, and false if none is known.
+func (f *Fleet) randomReader(now time.Time, random uint64) (string, bool) {
 	var addresses []string
-	for h := range f.living(now) {
-		if !h.Leaving && f.mayFollow(now, h) {
-			addresses = append(addresses, h.Address)
+	for p := range f.aliveSeq(now) {
+		if !p.Leaving && f.canFollow(now, p) {
+			addresses = append(addresses, p.Address)
 		}
 	}
 	if len(addresses) == 0 {
-		return f.Other(now, roll)
+		return f.Other(now, random)
 	}
-	return addresses[roll%uint64(len(addresses))], true
+	return addresses[random%uint64(len(addresses))], true
 }
--- a/internal/core/fleet/backoff_test.go
+++ b/internal/core/fleet/backoff_test.go
@@ -9,46 +9,46 @@
 	"github.com/matryer/is"
 )
 
-// storeWorld plays how many gateways learn what a store holds that answers some of them
-// only, in steps. A step is as long as a question between gateways takes.
-type storeWorld struct {
+// storeSimulation simulates in steps how gateways learn the state of a store that answers
+// only some of them. A step is as long as a query between gateways takes.
+type storeSimulation struct {
 	now   time.Time
 	rng   *rand.Rand
 	list  []*Fleet
 	index map[string]int
-	// proof is when what a gateway knows was the newest.
+	// proof is when the state of each gateway was last proved current.
 	proof []time.Time
 	// answers reports whether the store answers the gateway.
 	answers func(i int) bool
-	// busyUntil is until when the gateway waits for an answer.
+	// busyUntil is when the pending query of each gateway ends.
 	busyUntil []time.Time
 	calls     int
 }
 
 const (
-	storeStep = 100 * time.Millisecond
-	// storePoll is how long a question to a parent is held that brings nothing.
+	simulationStep = 100 * time.Millisecond
+	// storePoll is how long a parent holds a query without news.
 	storePoll = 200 * time.Millisecond
-	// beatSteps is the number of steps between two beats.
-	beatSteps = 20
-	// storeLate is the age from which on a gateway does not wait for its parent alone,
-	// storeHonoured the age up to which it honours keys.
-	storeLate     = 2850 * time.Millisecond
-	storeHonoured = 3800 * time.Millisecond
-	// storeWatch is how long a watch waits, storeTimeout how long a call takes that
-	// nobody answers.
+	// heartbeatSteps is the number of steps between two heartbeats.
+	heartbeatSteps = 20
+	// staleAge is the age from which a gateway does not wait for its parent alone, and
+	// maxKeyAge the age up to which it accepts keys.
+	staleAge  = 2850 * time.Millisecond
+	maxKeyAge = 3800 * time.Millisecond
+	// storeWatch is the wait of a watch, and storeTimeout the duration of a call without
+	// an answer.
 	storeWatch   = 1900 * time.Millisecond
 	storeTimeout = 700 * time.Millisecond
 )
 
-// newStoreWorld returns n gateways in zones of one region that know each other.
-func newStoreWorld(n, zones int, seed uint64) *storeWorld {
-	w := &storeWorld{now: t0, rng: rand.New(rand.NewPCG(seed, 1)), index: make(map[string]int), answers: func(int) bool { return true }}
+// newStoreSimulation returns n gateways in zones of one region that know each other.
+func newStoreSimulation(n, zones int, seed uint64) *storeSimulation {
+	w := &storeSimulation{now: t0, rng: rand.New(rand.NewPCG(seed, 1)), index: make(map[string]int), answers: func(int) bool { return true }}
 	var names []string
 	for z := range zones {
 		names = append(names, fmt.Sprintf("z%d", z))
 	}
-	w.list = fleetOf(n, zones)
+	w.list = newFleets(n, zones)
 	members := make([]Member, n)
 	for i, f := range w.list {
 		f.Region(names)
@@ -66,20 +66,21 @@
 	return w
 }
 
-// late reports whether what the gateway knows is too old to wait for its parent.
-func (w *storeWorld) late(i int) bool { return w.now.Sub(w.proof[i]) > storeLate }
+// stale reports whether the state of the gateway is too old to wait for its parent.
+func (w *storeSimulation) stale(i int) bool { return w.now.Sub(w.proof[i]) > staleAge }
 
-// run plays for the time and returns the share of time in which gateways honoured no key.
-func (w *storeWorld) run(d time.Duration) (refused float64) {
-	steps := int(d / storeStep)
+// run simulates the duration and returns the fraction of time in which gateways accepted
+// no key.
+func (w *storeSimulation) run(d time.Duration) (refused float64) {
+	steps := int(d / simulationStep)
 	for n := range steps {
-		w.now = w.now.Add(storeStep)
-		if n%beatSteps == 0 {
-			w.beat()
+		w.now = w.now.Add(simulationStep)
+		if n%heartbeatSteps == 0 {
+			w.heartbeat()
 		}
 		for i := range w.list {
 			w.step(i)
-			if w.now.Sub(w.proof[i]) > storeHonoured {
+			if w.now.Sub(w.proof[i]) > maxKeyAge {
 				refused++
 			}
 		}
@@ -87,22 +88,22 @@
 	return refused / float64(steps*len(w.list))
 }
 
-// beat lets everybody hear of everybody.
-func (w *storeWorld) beat() {
+// heartbeat delivers the heartbeats of all gateways to all others.
+func (w *storeSimulation) heartbeat() {
 	for _, f := range w.list {
-		for _, h := range f.sorted() {
-			h.at = w.now
+		for _, p := range f.sorted() {
+			p.lastHeartbeat = w.now
 		}
 	}
 }
 
-// step lets one gateway ask, if it waits for nothing.
-func (w *storeWorld) step(i int) {
+// step lets one gateway make a query, unless one is pending.
+func (w *storeSimulation) step(i int) {
 	f := w.list[i]
 	if w.now.Before(w.busyUntil[i]) {
 		return
 	}
-	address, ok := f.Next(w.now, w.late(i), w.rng.Uint64())
+	address, ok := f.Next(w.now, w.stale(i), w.rng.Uint64())
 	if !ok {
 		w.ask(i)
 		return
@@ -114,14 +115,14 @@
 	if w.proof[j].After(w.proof[i]) {
 		w.proof[i] = w.proof[j]
 	}
-	w.busyUntil[i] = w.now.Add(storeStep)
-	if !w.late(i) {
+	w.busyUntil[i] = w.now.Add(simulationStep)
+	if !w.stale(i) {
 		w.busyUntil[i] = w.now.Add(storePoll)
 	}
 }
 
-// ask asks the store.
-func (w *storeWorld) ask(i int) {
+// ask queries the store.
+func (w *storeSimulation) ask(i int) {
 	f := w.list[i]
 	w.calls++
 	if !w.answers(i) {
@@ -132,34 +133,35 @@
 	f.StoreAnswered()
 	w.proof[i] = w.now
 	w.busyUntil[i] = w.now.Add(storeWatch)
-	if w.late(i) {
-		w.busyUntil[i] = w.now.Add(storeStep)
+	if w.stale(i) {
+		w.busyUntil[i] = w.now.Add(simulationStep)
 	}
 }
 
-// The calls to a store do not grow with the fleet, whether it answers all gateways, most
-// of them, or nobody; and nobody whose neighbours know what it holds goes without.
+// The calls to the store do not grow with the fleet, whether the store answers all
+// gateways, most of them, or none. No gateway lacks the state for long while its
+// neighbours have it.
 func TestCallsDoNotGrowWithTheFleet(t *testing.T) {
 	tests := []struct {
 		name string
-		// silent is the share of gateways that the store does not answer.
+		// silent is the fraction of gateways that the store does not answer.
 		silent float64
 		sizes  []int
-		// calls is the most calls a second, refused the largest share of time in which
-		// gateways honour no key, while it lasts.
+		// calls is the maximum number of calls a second, refused the maximum fraction of
+		// time in which gateways accept no key during the outage.
 		calls, refused float64
 	}{
-		{"all are answered", 0, []int{30, 357}, 1, 0},
-		{"a third is not", 0.35, []int{30, 357, 800}, 3, 0.01},
-		{"nine tenths are not", 0.9, []int{30, 357}, 25, 0.1},
-		{"nobody is", 1, []int{30, 357}, 30, 1},
+		{"all gateways get an answer", 0, []int{30, 357}, 1, 0},
+		{"a third gets no answer", 0.35, []int{30, 357, 800}, 3, 0.01},
+		{"nine tenths get no answer", 0.9, []int{30, 357}, 25, 0.1},
+		{"no gateway gets an answer", 1, []int{30, 357}, 30, 1},
 	}
 	const outage = 6 * time.Second
 	for _, tt := range tests {
 		for _, n := range tt.sizes {
 			t.Run(fmt.Sprint(tt.name, " of ", n), func(t *testing.T) {
 				is := is.New(t)
-				w := newStoreWorld(n, 5, 1)
+				w := newStoreSimulation(n, 5, 1)
 				is.Equal(w.run(3*time.Second), 0.0)
 				silent := make([]bool, n)
 				for i := range silent {
@@ -174,7 +176,7 @@
 				is.True(refused <= tt.refused)
 				w.answers = func(int) bool { return true }
 				w.run(2 * time.Second)
-				is.Equal(w.run(time.Second), 0.0) // known again everywhere
+				is.Equal(w.run(time.Second), 0.0) // every gateway has the state again
 			})
 		}
 	}
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -1,22 +1,22 @@
-// Package fleet holds what a gateway knows of the other gateways.
+// Package fleet tracks what a gateway knows of the other gateways.
 //
-// Gateways are on no list. Each one knows a few addresses from its settings,
-// swaps what it knows with one other gateway a second, and so learns of all of
-// them. A gateway whose beat has not risen for a while is forgotten. Nothing
-// here is needed to keep a promise: what is known may be late or wrong, and a
-// gateway that knows nobody acts alone.
+// There is no central list of gateways. Each one has a few seed addresses in its
+// settings, exchanges its state with one other gateway a second (gossip), and so learns
+// of all of them. A gateway whose heartbeat has not risen for a while is forgotten. No
+// guarantee depends on this package: the state may be stale or wrong, and a gateway that
+// knows no other acts alone.
 //
-// The gateways of a region form a tree over the rendezvous order of their
-// addresses, an availability zone each branch of it. The first one reads the
-// platform's store, the others follow their parent in the tree. Nobody is set
-// aside: when one goes, the order moves up.
+// The gateways of a region form a tree over the rendezvous order of their addresses, with
+// one branch per availability zone. The first gateway reads the platform's store, and the
+// others follow their parent in the tree. There is no designated leader or standby: when
+// a gateway goes, those after it in the order move up.
 //
 // # Usage
 //
 //	f := fleet.New(self)
 //	f.Beat()
-//	f.Merge(now, heard)
-//	if address, ok := f.Next(now, late, roll); ok {
+//	f.Merge(now, members)
+//	if address, ok := f.Next(now, stale, random); ok {
 //		follow(address)
 //	}
 package fleet
@@ -33,202 +33,202 @@
 	"github.com/gladegauge/gladegauge/internal/core/rendezvous"
 )
 
-// Sizes and times of a fleet.
+// Sizes and durations of the gossip protocol.
 const (
-	// ExchangeEvery is the mean time between two exchanges that a gateway begins.
+	// ExchangeEvery is the mean interval between two exchanges that a gateway starts.
 	ExchangeEvery = time.Second
-	// ShareMost is the number of gateways that one message tells of. Each is
-	// about 60 bytes, so that two exchanges a second stay within the 4 KB/s that
-	// control may cost a gateway.
+	// ShareMost is the largest number of gateways in one message. Each takes about 60
+	// bytes, so that two exchanges a second stay within the 4 KB/s that control traffic
+	// may cost a gateway.
 	ShareMost = 16
-	// IntroduceMost is the number that a gateway is told of that knows less than half
-	// as many: it has just started. It is told so once or twice. As many are told while
-	// the fleet gets to know itself.
+	// IntroduceMost is the largest number in a message to a gateway that knows less than
+	// half as many as the sender, which has just started. It receives one or two such
+	// messages. The same limit applies while the fleet is still discovering its members.
 	IntroduceMost = 128
-	// learningPart is the part of the gateways in a message from which on so many new
-	// ones show that others lack as many.
-	learningPart = 0.08
-	// learningFor is how long more are told after such a message. It is two exchanges.
-	learningFor = 2 * time.Second
-	// FanOut is the number of gateways that follow the same parent: their polls
-	// stay within 4 KB/s, and three levels below the first reach over 500
-	// gateways.
+	// discoveryRatio is the fraction of new gateways in a message above which other
+	// gateways are assumed to lack as many.
+	discoveryRatio = 0.08
+	// discoveryPeriod is how long larger messages are sent after such a message. It is
+	// two exchanges.
+	discoveryPeriod = 2 * time.Second
+	// FanOut is the number of gateways that follow the same parent. Their polls stay
+	// within 4 KB/s, and three levels below the first reach over 500 gateways.
 	FanOut = 8
-	// keepFor is how long a gateway is believed to live without a new beat,
-	// while one message tells of all gateways. It is several exchanges.
-	keepFor = 5 * time.Second
-	// rememberFactor is how many times as long as a gateway is believed to live
-	// its last beat is remembered, so that an old word does not bring it back.
-	rememberFactor = 10
-	// rejoinEvery is the number of exchanges of which one goes to a gateway that
-	// is not known to live.
-	rejoinEvery = 4
-	// downFor is how long a gateway is not asked after a call to it failed. It is
-	// shorter than keepFor: one call may be lost though the gateway lives.
-	downFor = 3 * time.Second
-	// failuresMost bounds how often that time is doubled.
-	failuresMost = 4
-	// sizeMemory is how long the largest size of the fleet is remembered: the
-	// parts of a fleet that was cut must not count themselves as the whole.
-	sizeMemory = time.Minute
+	// basePeerTimeout is how long a gateway is considered alive without a new heartbeat,
+	// as long as one message holds all gateways. It is several exchanges.
+	basePeerTimeout = 5 * time.Second
+	// retentionFactor is the multiple of the peer timeout for which the last heartbeat of
+	// a gateway is retained, so that an outdated message does not revive it.
+	retentionFactor = 10
+	// rejoinInterval is the number of exchanges of which one goes to a gateway that is
+	// not known to be alive.
+	rejoinInterval = 4
+	// callBackoff is how long a gateway is not called after the first failed call. It is
+	// shorter than basePeerTimeout: one call may be lost although the gateway is alive.
+	callBackoff = 3 * time.Second
+	// maxBackoffDoublings limits how often callBackoff is doubled.
+	maxBackoffDoublings = 4
+	// peakSizeWindow is how long the largest size of the fleet is remembered: the parts
+	// of a partitioned fleet must not count themselves as the whole.
+	peakSizeWindow = time.Minute
 )
 
-// Fleet is one gateway's picture of all gateways. It is not safe for concurrent
-// use.
+// Fleet is one gateway's view of all gateways. It is not safe for concurrent use.
 type Fleet struct {
-	self   Member
-	others map[string]*heard
-	// hashes are those of the others' addresses, and order the others by address; nil
-	// after one came or went.
-	hashes []uint64
-	order  []*heard
-	// peak is the largest size of the last minute.
+	self  Member
+	peers map[string]*peer
+	// hashes holds the hashes of the peers' addresses, and byAddress the peers sorted by
+	// address; both are nil after a peer was added or removed.
+	hashes    []uint64
+	byAddress []*peer
+	// peak is the largest size within peakSizeWindow, and peakAt is when it was recorded.
 	peak   int
 	peakAt time.Time
 	start  start
-	// zones are those of the region, in the order in which they read the store.
+	// zones holds the availability zones of the region, in the order in which they read
+	// the store.
 	zones []string
-	// backoffUntil is until when this gateway leaves the store to others.
+	// backoffUntil is when the store backoff of this gateway ends.
 	backoffUntil time.Time
-	// lateTurn counts the questions since what is known became too old; drawnAt is when
-	// the dice was rolled last for one to the store.
-	lateTurn int
-	drawnAt  time.Time
-	// learningUntil is until when more gateways are told of than in calm times.
-	learningUntil time.Time
-	// joinedAt is when the first other gateway was heard of; zero before.
+	// staleQueries counts the queries since the known state became stale; lastDraw is the
+	// time of the last random draw for a query to the store.
+	staleQueries int
+	lastDraw     time.Time
+	// discoveringUntil is when messages return to their usual size.
+	discoveringUntil time.Time
+	// joinedAt is when the first other gateway became known; zero before.
 	joinedAt time.Time
 }
 
-// New returns a fleet of the gateway alone.
+// New returns a fleet that holds only this gateway.
 func New(self Member) *Fleet {
-	return &Fleet{self: self, others: make(map[string]*heard)}
+	return &Fleet{self: self, peers: make(map[string]*peer)}
 }
 
-// Beat tells that the gateway lives.
+// Beat advances the heartbeat of this gateway.
 func (f *Fleet) Beat() { f.self.Beat++ }
 
-// Leave tells that the gateway takes nobody new.
+// Leave announces that this gateway accepts no new callers.
 func (f *Fleet) Leave() {
 	f.self.Beat++
 	f.self.Leaving = true
 }
 
-// Merge takes what another gateway knows.
+// Merge adds the state that another gateway sent.
 func (f *Fleet) Merge(now time.Time, members []Member) {
-	before := len(f.others)
+	before := len(f.peers)
 	for _, m := range members {
 		if m.Address == f.self.Address && m.Start > f.self.Start {
-			// An earlier start had a clock that was ahead.
+			// The clock was ahead at an earlier start.
 			f.self.Start = m.Start + 1
 		}
 		if m.Address == "" || m.Address == f.self.Address {
 			continue
 		}
-		held, ok := f.others[m.Address]
+		held, ok := f.peers[m.Address]
 		switch {
 		case !ok:
-			f.others[m.Address] = &heard{Member: m, at: now, hash: xxhash.Sum64String(m.Address)}
-			f.changed()
+			f.peers[m.Address] = &peer{Member: m, lastHeartbeat: now, hash: xxhash.Sum64String(m.Address)}
+			f.invalidate()
 		case m.newer(held.Member):
 			held.Member = m
-			held.at = now
+			held.lastHeartbeat = now
 			held.failures = 0
 		}
 	}
-	if float64(len(f.others)-before) > learningPart*float64(len(members)) {
-		f.learningUntil = now.Add(learningFor)
+	if float64(len(f.peers)-before) > discoveryRatio*float64(len(members)) {
+		f.discoveringUntil = now.Add(discoveryPeriod)
 	}
-	if len(f.others) > 0 && f.joinedAt.IsZero() {
+	if len(f.peers) > 0 && f.joinedAt.IsZero() {
 		f.joinedAt = now
 	}
 	f.forget(now)
 	f.Size(now)
 }
 
-// keep is how long a gateway is believed to live without a new beat. The larger
-// the fleet, the longer a beat takes to come around.
-func (f *Fleet) keep() time.Duration {
-	return keepFor * time.Duration(1+len(f.others)/ShareMost)
+// peerTimeout is how long a gateway is considered alive without a new heartbeat. It grows
+// with the fleet, because a heartbeat then takes longer to reach every gateway.
+func (f *Fleet) peerTimeout() time.Duration {
+	return basePeerTimeout * time.Duration(1+len(f.peers)/ShareMost)
 }
 
-// forget drops the gateways that have not been heard of for very long. Until then
-// their last beat is remembered, so that an old word about them, which others may
-// still pass on, does not bring them back.
+// forget removes the gateways whose heartbeat is older than the retention time. Until
+// then the last heartbeat is retained, so that outdated state that other gateways still
+// pass on does not revive them.
 func (f *Fleet) forget(now time.Time) {
-	keep := rememberFactor * f.keep()
-	for address, h := range f.others {
-		if now.Sub(h.at) > keep {
-			delete(f.others, address)
-			f.changed()
+	peerTimeout := retentionFactor * f.peerTimeout()
+	for address, p := range f.peers {
+		if now.Sub(p.lastHeartbeat) > peerTimeout {
+			delete(f.peers, address)
+			f.invalidate()
 		}
 	}
 }
 
-// alive returns the other gateways that are believed to live, in order.
-func (f *Fleet) alive(now time.Time) []*heard { return slices.Collect(f.living(now)) }
+// alive returns the other gateways that are considered alive, sorted by address.
+func (f *Fleet) alive(now time.Time) []*peer { return slices.Collect(f.aliveSeq(now)) }
 
-// living goes over the other gateways that are believed to live, in order.
-func (f *Fleet) living(now time.Time) iter.Seq[*heard] {
-	keep := f.keep()
-	return func(yield func(*heard) bool) {
-		for _, h := range f.sorted() {
-			if now.Sub(h.at) <= keep && !yield(h) {
+// aliveSeq iterates over the other gateways that are considered alive, sorted by address.
+func (f *Fleet) aliveSeq(now time.Time) iter.Seq[*peer] {
+	peerTimeout := f.peerTimeout()
+	return func(yield func(*peer) bool) {
+		for _, p := range f.sorted() {
+			if now.Sub(p.lastHeartbeat) <= peerTimeout && !yield(p) {
 				return
 			}
 		}
 	}
 }
 
-// sorted returns all others by address. It is asked for many times a second and changes
-// only when one comes or is forgotten.
-func (f *Fleet) sorted() []*heard {
-	if f.order == nil {
-		f.order = slices.SortedFunc(maps.Values(f.others), func(a, b *heard) int {
+// sorted returns all peers by address. The result is cached: it is requested many times a
+// second and changes only when a peer is added or forgotten.
+func (f *Fleet) sorted() []*peer {
+	if f.byAddress == nil {
+		f.byAddress = slices.SortedFunc(maps.Values(f.peers), func(a, b *peer) int {
 			return cmp.Compare(a.Address, b.Address)
 		})
 	}
-	return f.order
+	return f.byAddress
 }
 
-// changed drops what is kept of who there is.
-func (f *Fleet) changed() {
+// invalidate drops the caches that depend on the set of peers.
+func (f *Fleet) invalidate() {
 	f.hashes = nil
-	f.order = nil
+	f.byAddress = nil
 }
 
-// Known is the number of gateways that are believed to live, with this one.
+// Known returns the number of gateways that are considered alive, including this one.
 func (f *Fleet) Known(now time.Time) int {
 	n := 1
-	for range f.living(now) {
+	for range f.aliveSeq(now) {
 		n++
 	}
 	return n
 }
 
-// Share returns what the next message tells a gateway that knows so many: this one
-// and some others, chosen by the roll of a dice.
-func (f *Fleet) Share(now time.Time, known int, roll uint64) []Member {
+// Share returns the members for the next message to a gateway that knows the given number
+// of gateways: this gateway and a random sample of the others.
+func (f *Fleet) Share(now time.Time, known int, random uint64) []Member {
 	list := f.alive(now)
 	most := ShareMost
-	if 2*known <= len(list) || now.Before(f.learningUntil) {
+	if 2*known <= len(list) || now.Before(f.discoveringUntil) {
 		most = IntroduceMost
 	}
-	slices.SortFunc(list, func(a, b *heard) int {
-		return cmp.Compare(rendezvous.Mix(roll, a.hash), rendezvous.Mix(roll, b.hash))
+	slices.SortFunc(list, func(a, b *peer) int {
+		return cmp.Compare(rendezvous.Mix(random, a.hash), rendezvous.Mix(random, b.hash))
 	})
 	members := []Member{f.self}
-	for _, h := range list[:min(len(list), most-1)] {
-		members = append(members, h.Member)
+	for _, p := range list[:min(len(list), most-1)] {
+		members = append(members, p.Member)
 	}
 	return members
 }
 
-// Size returns the number of gateways that share what is counted over all of
-// them: the largest one of the last minute.
+// Size returns the number of gateways among which fleet-wide limits are divided: the
+// largest one within peakSizeWindow.
 func (f *Fleet) Size(now time.Time) int {
 	n := f.Known(now)
-	if n >= f.peak || now.Sub(f.peakAt) > sizeMemory {
+	if n >= f.peak || now.Sub(f.peakAt) > peakSizeWindow {
 		f.peak, f.peakAt = n, now
 	}
 	return f.peak
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -11,8 +11,8 @@
 
 var t0 = time.Unix(1000, 0)
 
-// fleetOf returns n gateways in the zones, in turn, that know nobody.
-func fleetOf(n, zones int) []*Fleet {
+// newFleets returns n gateways, distributed over the zones, that know no other.
+func newFleets(n, zones int) []*Fleet {
 	list := make([]*Fleet, n)
 	for i := range list {
 		list[i] = New(Member{Address: fmt.Sprintf("10.0.%d.%d:1", i/250, i%250), Zone: fmt.Sprintf("z%d", i%zones), Start: 1})
@@ -20,8 +20,8 @@
 	return list
 }
 
-// play lets all gateways exchange once a second. The first three are the seeds.
-func play(now time.Time, list []*Fleet, seconds int, reach func(a, b int) bool) time.Time {
+// runExchanges lets all gateways exchange once a second. The first three are the seeds.
+func runExchanges(now time.Time, list []*Fleet, seconds int, reach func(a, b int) bool) time.Time {
 	rng := rand.New(rand.NewPCG(1, 2))
 	index := make(map[string]int)
 	for i, f := range list {
@@ -41,8 +41,8 @@
 				f.Down(now, address)
 				continue
 			}
-			told := f.Share(now, f.Known(now), rng.Uint64())
-			list[j].Merge(now, told)
+			payload := f.Share(now, f.Known(now), rng.Uint64())
+			list[j].Merge(now, payload)
 			f.Merge(now, list[j].Share(now, f.Known(now), rng.Uint64()))
 		}
 	}
@@ -51,8 +51,8 @@
 
 func all(int, int) bool { return true }
 
-// Gateways that know three seeds learn of everyone, and agree on one reader of
-// the store in each zone.
+// Gateways that know three seeds discover all others, and agree on one reader of the
+// store in each zone.
 func TestEveryoneIsKnown(t *testing.T) {
 	tests := []struct {
 		n, zones, seconds int
@@ -67,8 +67,8 @@
 	for _, tt := range tests {
 		t.Run(fmt.Sprint(tt.n), func(t *testing.T) {
 			is := is.New(t)
-			list := fleetOf(tt.n, tt.zones)
-			now := play(t0, list, tt.seconds, all)
+			list := newFleets(tt.n, tt.zones)
+			now := runExchanges(t0, list, tt.seconds, all)
 			readers := make(map[string]int)
 			for _, f := range list {
 				is.True(float64(f.Size(now)) >= tt.whole*float64(tt.n))
@@ -79,17 +79,17 @@
 			}
 			is.Equal(len(readers), tt.zones)
 			for _, n := range readers {
-				is.True(n <= 1+tt.n/100) // a picture that is a little behind
+				is.True(n <= 1+tt.n/100) // some views may be slightly stale
 			}
 		})
 	}
 }
 
-// The tree has no circle: every gateway reaches the reader of its zone.
+// The tree has no cycle: every gateway reaches the reader of its zone.
 func TestParentsLeadToTheReader(t *testing.T) {
 	is := is.New(t)
-	list := fleetOf(60, 2)
-	now := play(t0, list, 60, all)
+	list := newFleets(60, 2)
+	now := runExchanges(t0, list, 60, all)
 	byAddress := make(map[string]*Fleet)
 	for _, f := range list {
 		byAddress[f.self.Address] = f
@@ -108,57 +108,57 @@
 	}
 }
 
-// A part that was cut off goes on by itself and does not take the whole for its
-// own; what comes back is known again.
+// A partitioned part of the fleet keeps working and does not count itself as the whole
+// fleet; the parts find each other again.
 func TestCutAndRejoin(t *testing.T) {
 	is := is.New(t)
-	list := fleetOf(12, 3)
-	now := play(t0, list, 20, all)
-	now = play(now, list, 20, func(a, b int) bool { return a%3 == b%3 })
+	list := newFleets(12, 3)
+	now := runExchanges(t0, list, 20, all)
+	now = runExchanges(now, list, 20, func(a, b int) bool { return a%3 == b%3 })
 	for _, f := range list {
 		is.Equal(len(f.alive(now)), 3) // its own zone
 		is.Equal(f.Size(now), 12)
 	}
-	now = play(now, list, 40, all)
+	now = runExchanges(now, list, 40, all)
 	for _, f := range list {
 		is.Equal(len(f.alive(now)), 11)
 		is.Equal(f.Size(now), 12)
 	}
 }
 
-// What is heard of a gateway last counts, and old words do not bring it back.
+// The latest state of a gateway counts, and outdated state does not revive it.
 func TestMerge(t *testing.T) {
 	is := is.New(t)
 	f := New(Member{Address: "a:1", Zone: "z", Start: 5})
 	f.Merge(t0, []Member{{Address: "a:1", Start: 9}, {Address: "b:1", Zone: "z", Start: 1, Beat: 7}, {}})
-	is.Equal(f.self.Start, uint64(10)) // a later start than the one that is known
-	is.Equal(len(f.others), 1)         // neither itself nor nobody
+	is.Equal(f.self.Start, uint64(10)) // above the start that the other gateway knows
+	is.Equal(len(f.peers), 1)          // neither its own nor an empty address
 	f.Merge(t0.Add(time.Second), []Member{{Address: "b:1", Zone: "z", Start: 1, Beat: 6}})
-	is.Equal(f.others["b:1"].Beat, uint64(7)) // an older word changes nothing
+	is.Equal(f.peers["b:1"].Beat, uint64(7)) // an older heartbeat changes nothing
 	f.Merge(t0.Add(time.Second), []Member{{Address: "b:1", Zone: "z", Start: 2, Beat: 1}})
-	is.Equal(f.others["b:1"].Start, uint64(2)) // a new start counts from the beginning
+	is.Equal(f.peers["b:1"].Start, uint64(2)) // the heartbeat restarts with a new start
 	f.Down(t0.Add(time.Second), "b:1")
 	_, ok := f.Other(t0.Add(2*time.Second), 1)
 	is.True(!ok)
 	_, ok = f.Parent(t0.Add(2 * time.Second))
-	is.True(!ok) // nobody to follow
+	is.True(!ok) // no gateway to follow
 	f.Merge(t0.Add(4*time.Second), []Member{{Address: "b:1", Zone: "z", Start: 2, Beat: 2, Leaving: true}})
 	_, ok = f.Other(t0.Add(5*time.Second), 1)
 	is.True(!ok)
 	is.Equal(f.Size(t0.Add(5*time.Second)), 2)
 	is.Equal(len(f.alive(t0.Add(12*time.Second))), 0)
 	f.Merge(t0.Add(12*time.Second), []Member{{Address: "b:1", Zone: "z", Start: 2, Beat: 2}})
-	is.Equal(len(f.alive(t0.Add(12*time.Second))), 0) // an old word does not bring it back
+	is.Equal(len(f.alive(t0.Add(12*time.Second))), 0) // outdated state does not revive it
 	f.Merge(t0.Add(time.Hour), nil)
-	is.Equal(len(f.others), 0)
+	is.Equal(len(f.peers), 0)
 }
 
-// The gateways of a zone agree on their relay, and so do those of other zones.
+// The gateways of all zones agree on the relay of each zone.
 func TestRelaysAgree(t *testing.T) {
 	is := is.New(t)
 	const zones = 4
-	list := fleetOf(30, zones)
-	now := play(t0, list, 20, all)
+	list := newFleets(30, zones)
+	now := runExchanges(t0, list, 20, all)
 	relays := make(map[string]map[string]bool)
 	note := func(zone, address string) {
 		if relays[zone] == nil {
@@ -186,12 +186,12 @@
 	}
 }
 
-// A relay that does not answer is left for the next one, and a gateway that knows
-// nobody is its own.
+// A relay that does not answer is replaced by the next one, and a gateway that knows no
+// other is its own relay.
 func TestRelayThatIsDown(t *testing.T) {
 	is := is.New(t)
-	list := fleetOf(6, 1)
-	now := play(t0, list, 20, all)
+	list := newFleets(6, 1)
+	now := runExchanges(t0, list, 20, all)
 	for _, f := range list {
 		first, self := f.Relay(now)
 		if self {
@@ -200,14 +200,15 @@
 		f.RelayDown(now, first)
 		next, _ := f.Relay(now)
 		is.True(next != first)
-		back, _ := f.Relay(now.Add(downFor))
+		back, _ := f.Relay(now.Add(callBackoff))
 		is.Equal(back, first)
 	}
 	_, self := New(Member{Address: "10.0.0.1:1", Zone: "a"}).Relay(now)
 	is.True(self)
 }
 
-// A neighbour is another gateway of the availability zone, for as long as its beat rises.
+// A neighbour is another gateway of the availability zone, for as long as its heartbeat
+// rises.
 func TestIsNeighbour(t *testing.T) {
 	tests := []struct {
 		name string
@@ -215,10 +216,10 @@
 		wait time.Duration
 		want bool
 	}{
-		{"of the zone", Member{Address: "b", Zone: "z", Start: 1, Beat: 1}, 0, true},
-		{"of another zone", Member{Address: "b", Zone: "y", Start: 1, Beat: 1}, 0, false},
-		{"nobody has heard of it", Member{Address: "c", Zone: "z", Start: 1, Beat: 1}, 0, false},
-		{"it lives no more", Member{Address: "b", Zone: "z", Start: 1, Beat: 1}, keepFor + time.Millisecond, false},
+		{"same zone", Member{Address: "b", Zone: "z", Start: 1, Beat: 1}, 0, true},
+		{"another zone", Member{Address: "b", Zone: "y", Start: 1, Beat: 1}, 0, false},
+		{"unknown address", Member{Address: "c", Zone: "z", Start: 1, Beat: 1}, 0, false},
+		{"heartbeat timed out", Member{Address: "b", Zone: "z", Start: 1, Beat: 1}, basePeerTimeout + time.Millisecond, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/core/fleet/hold_test.go
+++ b/internal/core/fleet/hold_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// Whoever looks for a holder finds one that takes itself for one, and that lives.
+// Holder returns an alive gateway for which Holds is true, whichever gateway computes it.
 func TestHolder(t *testing.T) {
 	is := is.New(t)
 	const n, holders = 20, 3
@@ -31,14 +31,14 @@
 			}
 		}
 		is.Equal(len(holds), holders)
-		for roll := range uint64(6) {
-			address, ok := list[int(key)%n].Holder(now, key, holders, roll)
+		for random := range uint64(6) {
+			address, ok := list[int(key)%n].Holder(now, key, holders, random)
 			is.True(ok && holds[address] && address != list[int(key)%n].self.Address)
 		}
 	}
 	later := now.Add(time.Minute)
 	_, ok := list[0].Holder(later, 1, holders, 0)
-	is.True(!ok) // nobody was heard of lately
+	is.True(!ok) // no gateway has a recent heartbeat
 	_, ok = New(Member{Address: "alone"}).Holder(now, 1, holders, 0)
 	is.True(!ok)
 }
--- a/internal/core/fleet/member.go
+++ b/internal/core/fleet/member.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Member is one gateway.
+// Member is the state of one gateway as it is sent in messages.
 type Member struct {
 	Address string
 	Zone    string
-	// Start tells the starts of a gateway apart and is higher for a later one;
-	// Beat rises while it lives.
+	// Start identifies a process start of the gateway and is higher for a later one; Beat
+	// is the heartbeat, which rises while the gateway is alive.
 	Start uint64
 	Beat  uint64
-	// Leaving is true once it takes nobody new.
+	// Leaving is true once the gateway accepts no new callers.
 	Leaving bool
-	// Capacity is the part of a core that its host gives it, in thousandths; 0 if it
-	// does not say.
+	// Capacity is the CPU share that its host gives it, in thousandths of a core; 0 if
+	// not reported.
 	Capacity uint32
 }
 
-// newer reports whether m says more of its gateway than other does.
+// newer reports whether m is more recent than other, which is the same gateway.
 func (m Member) newer(other Member) bool {
 	if m.Start != other.Start {
 		return m.Start > other.Start
@@ -25,20 +25,21 @@
 	return m.Beat > other.Beat
 }
 
-// heard is another gateway as it was last heard of.
-type heard struct {
+// peer is another gateway with its last known state.
+type peer struct {
 	Member
-	// at is when its beat last rose.
-	at time.Time
-	// hash is of its address, to draw a sample without hashing anew.
+	// lastHeartbeat is when its heartbeat last rose.
+	lastHeartbeat time.Time
+	// hash is the hash of its address, kept so that samples are drawn without hashing
+	// again.
 	hash uint64
-	// downUntil is until when it is not asked.
+	// downUntil is when it may be called again.
 	downUntil time.Time
-	// failures is the number of calls to it that failed since its beat rose last, up to
-	// failuresMost.
+	// failures is the number of failed calls since its heartbeat last rose, up to
+	// maxBackoffDoublings.
 	failures int
-	// relayDownUntil is until when it is not taken for a relay.
+	// relayDownUntil is when it may be a relay again.
 	relayDownUntil time.Time
-	// backoffUntil is until when it leaves the store to others, as its own call failed.
+	// backoffUntil is when its own store backoff ends.
 	backoffUntil time.Time
 }
--- a/internal/core/fleet/relay.go
+++ b/internal/core/fleet/relay.go
@@ -8,28 +8,31 @@
 	"github.com/gladegauge/gladegauge/internal/core/rendezvous"
 )
 
-// The load that this answers: more comes than fits, and hundreds of gateways choose by
-// words on the engines. A relay that sums up for a whole zone can take so many words a
-// second, so that each gateway tells the less often, the more there are: with words half
-// a second old half of what would be in time is late.
+// Load limit: under overload, hundreds of gateways balance by the load reports of the
+// engines. A relay that aggregates for a whole zone can process a limited number of
+// reports a second, so that the report interval of each gateway would have to grow with
+// the zone: with reports half a second old, half of the requests that could have met
+// their target miss it.
 //
-// So a large zone is divided into cells. Each has a relay of its own, which sums up for
-// it, tells the relay of the zone, and passes its answer on. What a relay has to do, and
-// how often a gateway tells, does not depend on the size of the zone.
+// A large zone is therefore divided into cells. Each cell has a relay of its own, which
+// aggregates for it, reports to the relay of the zone, and passes on the answer. Neither
+// the work of a relay nor the report interval of a gateway depends on the size of the
+// zone.
 
-// CellMost is the number of gateways for which one relay sums up, about: with more of them
-// in an availability zone, it is divided.
+// CellMost is the approximate number of gateways for which one relay aggregates; an
+// availability zone with more is divided into cells.
 const CellMost = 32
 
-// Duty is what a gateway does for the picture of the upstreams.
+// Duty is the role of a gateway in the aggregation of upstream loads.
 type Duty struct {
-	// To is the gateway that it tells; empty if it is the relay of its availability zone.
+	// To is the gateway that it reports to; empty if it is the relay of its availability
+	// zone.
 	To string
-	// Sums is true if it sums up what others tell.
+	// Sums is true if it aggregates the reports of other gateways.
 	Sums bool
 }
 
-// Duty returns what this gateway does.
+// Duty returns the role of this gateway.
 func (f *Fleet) Duty(now time.Time) Duty {
 	ranked := f.relayOrder(now, f.self.Zone)
 	relays := ranked[:cells(len(ranked))]
@@ -43,25 +46,26 @@
 	}
 }
 
-// IsCellRelay reports whether the gateway at the address sums up for a cell of this one's
-// availability zone, as far as is known here: nobody else may speak for several.
+// IsCellRelay reports whether the gateway at the address aggregates for a cell of this
+// gateway's availability zone, according to the local view. No other gateway may report
+// for several.
 func (f *Fleet) IsCellRelay(now time.Time, address string) bool {
 	ranked := f.relayOrder(now, f.self.Zone)
 	return slices.Contains(ranked[:cells(len(ranked))], address)
 }
 
-// CellSize is the number of gateways that tell the same relay, about.
+// CellSize returns the approximate number of gateways that report to the same relay.
 func (f *Fleet) CellSize(now time.Time) int {
 	n := f.ZoneSize(now)
 	return (n + cells(n) - 1) / cells(n)
 }
 
-// cells is the number of cells of an availability zone of n gateways.
+// cells returns the number of cells of an availability zone of n gateways.
 func cells(n int) int { return max(1, (n+CellMost-1)/CellMost) }
 
-// Relay returns the gateway that sums up the loads of the availability zone, and
-// whether it is this one. It is another one than the first to follow, if there is
-// a choice, so that the work is spread.
+// Relay returns the gateway that aggregates the loads of the availability zone, and
+// whether it is this one. If there is a choice, it differs from the root of the zone's
+// follow tree, so that the work is spread.
 func (f *Fleet) Relay(now time.Time) (address string, self bool) {
 	address = f.relayOf(now, f.self.Zone)
 	return address, address == f.self.Address
@@ -76,9 +80,9 @@
 // Relays returns the relays of the other availability zones.
 func (f *Fleet) Relays(now time.Time) []ZoneRelay {
 	zones := make(map[string]bool)
-	for h := range f.living(now) {
-		if h.Zone != f.self.Zone {
-			zones[h.Zone] = true
+	for p := range f.aliveSeq(now) {
+		if p.Zone != f.self.Zone {
+			zones[p.Zone] = true
 		}
 	}
 	var list []ZoneRelay
@@ -90,15 +94,15 @@
 	return list
 }
 
-// RelayDown notes that a relay did not answer: another one takes its place for a
-// while. It says nothing about other calls, for which there is more time.
+// RelayDown records that a relay did not answer: another one replaces it for a while.
+// Other calls to that gateway are not affected, because their timeouts are longer.
 func (f *Fleet) RelayDown(now time.Time, address string) {
-	if h, ok := f.others[address]; ok {
-		h.relayDownUntil = now.Add(h.failed())
+	if p, ok := f.peers[address]; ok {
+		p.relayDownUntil = now.Add(p.failed())
 	}
 }
 
-// relayOf returns the relay of the availability zone; empty if nobody there is known.
+// relayOf returns the relay of the availability zone; empty if no gateway there is known.
 func (f *Fleet) relayOf(now time.Time, zone string) string {
 	if ranked := f.relayOrder(now, zone); len(ranked) > 0 {
 		return ranked[0]
@@ -106,11 +110,11 @@
 	return ""
 }
 
-// relayOrder returns the gateways of the availability zone in the order in which they are
-// relays.
+// relayOrder returns the gateways of the availability zone in the order in which they
+// become relays.
 func (f *Fleet) relayOrder(now time.Time, zone string) []string {
-	members := slices.DeleteFunc(f.askable(now, zone), func(address string) bool {
-		return now.Before(f.others[address].relayDownUntil)
+	members := slices.DeleteFunc(f.reachable(now, zone), func(address string) bool {
+		return now.Before(f.peers[address].relayDownUntil)
 	})
 	if zone == f.self.Zone {
 		members = append(members, f.self.Address)
--- a/internal/core/fleet/relay_test.go
+++ b/internal/core/fleet/relay_test.go
@@ -9,13 +9,14 @@
 	"github.com/matryer/is"
 )
 
-// Every gateway of a zone tells a relay that sums up, and what it tells reaches the relay
-// of the zone; no relay sums up for many more than a cell, however large the zone is.
+// Every gateway of a zone reports to a relay that aggregates, and its reports reach the
+// relay of the zone. No relay aggregates for many more gateways than a cell holds,
+// regardless of the size of the zone.
 func TestDuties(t *testing.T) {
 	for _, n := range []int{1, 2, 32, 33, 76, 160, 400} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			is := is.New(t)
-			list := fleetOf(n, 1)
+			list := newFleets(n, 1)
 			var members []Member
 			for _, f := range list {
 				members = append(members, f.self)
@@ -25,9 +26,9 @@
 				f.Merge(t0, members)
 				duties[f.self.Address] = f.Duty(t0)
 			}
-			top, told := "", make(map[string]int)
+			top, reports := "", make(map[string]int)
 			for address, d := range duties {
-				told[d.To]++
+				reports[d.To]++
 				if d.To == "" {
 					is.Equal(top, "")
 					is.True(d.Sums)
@@ -43,7 +44,7 @@
 				} else {
 					is.True(duties[d.To].Sums)
 				}
-				is.True(told[address] <= 2*CellMost)
+				is.True(reports[address] <= 2*CellMost)
 			}
 			is.Equal(relays, cells(n))
 			is.True(list[0].CellSize(t0) <= CellMost)
@@ -51,8 +52,8 @@
 	}
 }
 
-// A gateway that is dead, and believed to live for minutes in a large fleet, is tried less
-// and less often; one whose beat rises is tried as soon as before.
+// A dead gateway, which counts as alive for minutes in a large fleet, is tried at growing
+// intervals; one whose heartbeat rises is tried after the initial backoff again.
 func TestDeadGatewaysAreTriedSeldom(t *testing.T) {
 	for _, n := range []int{30, 357, 800} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -84,7 +85,7 @@
 			now := t0.Add(time.Minute)
 			f.Merge(now, []Member{back})
 			f.RelayDown(now, dead)
-			relay, _ := f.Relay(now.Add(downFor))
+			relay, _ := f.Relay(now.Add(callBackoff))
 			is.Equal(relay, dead)
 		})
 	}
