--- a/internal/core/reader/bounds.go
+++ b/internal/core/reader/bounds.go
@@ -3,127 +3,126 @@
 import "time"
 
 const (
-	// defaultWatch is the longest wait of a watch, where nothing asks for less.
-	defaultWatch = 10 * time.Second
-	// watchShare is the part of the age up to which keys are honoured that one
-	// watch may take; each answer proves the age anew, and one may be lost.
-	watchShare = 0.5
-	// configShare is the part of the time in which a configuration must be in
-	// force that one watch may take. A store that forgets its history may say
-	// nothing to a watch that waits, so that only the next one tells; the rest of
-	// the time is for that one, a listing, and the way to followers.
-	configShare = 0.75
-	// listShare is the part of the age up to which the list of upstreams is relied on
-	// that one watch may take; the rest is for the way to followers, which ask every
-	// half second.
-	listShare = 0.65
-	// leastWatchShare is the part of the usual time that a watch waits at least when
-	// the view has become old meanwhile.
-	leastWatchShare = 0.25
-	// lateFactor is the number of watches within which a parent must prove the age of
-	// the view; after that a gateway asks the store. With two watches in the time for
-	// which keys are honoured, a quarter of that time is left for it.
-	lateFactor = 1.5
-	// turnShare is the part of the time in which a configuration must be in force after
-	// which a gateway asks the store again; the rest is for a call that is on its way, and
-	// for the answer.
-	turnShare = 0.75
-	// defaultTurn is that time where no such bound is set.
-	defaultTurn = 1500 * time.Millisecond
-	// turnSpread is the part of that time by which it is shortened at most: gateways that
-	// asked at the same moment do not ask at the same moment again.
-	turnSpread = 0.35
-	// answerMargin is left for the answer where a gateway asks for the first time.
-	answerMargin = 100 * time.Millisecond
+	// maxWatchWait is the longest wait of a watch, used if no bound requires less.
+	maxWatchWait = 10 * time.Second
+	// keyWatchShare is the fraction of the maximum key age that one watch may take. Each
+	// answer proves the age again, and one may be lost.
+	keyWatchShare = 0.5
+	// configWatchShare is the fraction of the configuration bound that one watch may
+	// take. A store that compacts its history may not answer a pending watch, so that
+	// only the next one learns of it; the rest of the time is for that watch, a listing,
+	// and the propagation to followers.
+	configWatchShare = 0.75
+	// listWatchShare is the fraction of the maximum age of the upstream list that one
+	// watch may take; the rest is for the propagation to followers, which poll every half
+	// second.
+	listWatchShare = 0.65
+	// minWatchShare is the fraction of the usual wait that a watch waits at least if the
+	// view has aged in the meantime.
+	minWatchShare = 0.25
+	// staleFactor is the number of watches within which a parent must prove the age of
+	// the view; after that a gateway queries the store. With two watches in the maximum
+	// key age, a quarter of that age is left for the query.
+	staleFactor = 1.5
+	// queryIntervalShare is the fraction of the configuration bound after which a gateway
+	// queries the store again; the rest is for a call in flight and for the answer.
+	queryIntervalShare = 0.75
+	// defaultQueryInterval is that interval if no such bound is set.
+	defaultQueryInterval = 1500 * time.Millisecond
+	// queryJitter is the largest fraction by which the interval is shortened, so that
+	// gateways that queried the store at the same moment do not do so again.
+	queryJitter = 0.35
+	// answerTimeMargin is reserved for the answer to the first query of a gateway.
+	answerTimeMargin = 100 * time.Millisecond
 )
 
-// Bounds are the times in which a gateway has to know what the store holds; 0 for none.
+// Bounds limit how old a gateway's view of the store may be; 0 means no limit.
 type Bounds struct {
-	// KeyAge is the age of the view up to which keys are honoured.
+	// KeyAge is the age of the view up to which keys are accepted.
 	KeyAge time.Duration
-	// ListAge is the age of the view up to which it is relied on without asking the
-	// store.
+	// ListAge is the age of the view up to which the upstream list is used without
+	// querying the store.
 	ListAge time.Duration
-	// ConfigWithin is the time within which a configuration must be in force.
+	// ConfigWithin is the time within which a new configuration must be in force.
 	ConfigWithin time.Duration
 }
 
-// UsualWait is how long a watch waits when all is well. Each answer proves the
-// age of the view anew: of the keys, where revocation is strict, and of the
-// configuration in any case.
+// UsualWait returns the wait of a watch in normal operation. Each answer proves the age
+// of the view again: for the keys if revocation is strict, and for the configuration in
+// any case.
 func (b Bounds) UsualWait() time.Duration {
-	wait := defaultWatch
+	wait := maxWatchWait
 	if b.KeyAge > 0 {
-		wait = min(wait, time.Duration(watchShare*float64(b.KeyAge)))
+		wait = min(wait, time.Duration(keyWatchShare*float64(b.KeyAge)))
 	}
 	if b.ListAge > 0 {
-		wait = min(wait, time.Duration(listShare*float64(b.ListAge)))
+		wait = min(wait, time.Duration(listWatchShare*float64(b.ListAge)))
 	}
 	if b.ConfigWithin > 0 {
-		wait = min(wait, time.Duration(configShare*float64(b.ConfigWithin)))
+		wait = min(wait, time.Duration(configWatchShare*float64(b.ConfigWithin)))
 	}
 	return wait
 }
 
-// Late reports whether the view is too old to wait for a parent. A parent that has
-// lost the store goes on answering until its own watch has timed out.
-func (b Bounds) Late(v View) bool { return v.InForce && b.untilLate(v) < 0 }
+// Late reports whether the view is too old to wait for a parent. A parent that has lost
+// the store keeps answering until its own watch has timed out.
+func (b Bounds) Late(v View) bool { return v.InForce && b.untilStale(v) < 0 }
 
-// untilLate is the time until the view is too old to wait for a parent.
-func (b Bounds) untilLate(v View) time.Duration {
-	limit := time.Duration(lateFactor * float64(b.UsualWait()))
+// untilStale returns the time until the view is too old to wait for a parent.
+func (b Bounds) untilStale(v View) time.Duration {
+	limit := time.Duration(staleFactor * float64(b.UsualWait()))
 	if b.ListAge > 0 {
 		limit = min(limit, b.ListAge)
 	}
 	return limit - v.Age
 }
 
-// untilOld is the usual time less the age of the view. A watch that brought changes
-// proves no more than when it was asked; if the next one took its usual time, the
-// followers would find the view too old and all ask the store.
-func (b Bounds) untilOld(v View) time.Duration {
+// nextWatchWait returns the usual wait less the age of the view. A watch that returned
+// changes proves only the state at the time of its request; if the next one took the
+// usual wait, the followers would find the view stale and all query the store.
+func (b Bounds) nextWatchWait(v View) time.Duration {
 	usual := b.UsualWait()
 	if !v.InForce {
 		return usual
 	}
-	least := time.Duration(leastWatchShare * float64(usual))
+	least := time.Duration(minWatchShare * float64(usual))
 	return min(usual, max(least, usual-v.Age))
 }
 
-// AskWithin is the longest time between two questions to the store of a gateway whose view
-// is too old, from the beginning of one to that of the next.
+// AskWithin returns the longest interval between the starts of two queries to the store
+// by a gateway whose view is stale.
 func (b Bounds) AskWithin() time.Duration {
 	if b.ConfigWithin <= 0 {
-		return defaultTurn
+		return defaultQueryInterval
 	}
-	return time.Duration(turnShare * float64(b.ConfigWithin))
+	return time.Duration(queryIntervalShare * float64(b.ConfigWithin))
 }
 
-// nextTurn is the time, drawn by the roll of a dice, after which a gateway asks the store
+// nextQueryDelay returns the randomized time after which a gateway queries the store
 // again.
-func (b Bounds) nextTurn(roll uint64) time.Duration {
+func (b Bounds) nextQueryDelay(random uint64) time.Duration {
 	d := b.AskWithin()
-	return d - part(time.Duration(turnSpread*float64(d)), roll)
+	return d - randomFraction(time.Duration(queryJitter*float64(d)), random)
 }
 
-// part returns a part of the time, drawn by the roll of a dice; 0 if there is none.
-func part(d time.Duration, roll uint64) time.Duration {
+// randomFraction returns a random duration below d; 0 if d is not positive.
+func randomFraction(d time.Duration, random uint64) time.Duration {
 	if d <= 0 {
 		return 0
 	}
-	return time.Duration(roll % uint64(d))
+	return time.Duration(random % uint64(d))
 }
 
-// firstTurn is the time, drawn by the roll of a dice, after which a gateway whose view has
-// just become too old asks the store at the latest: before a configuration that it has not
-// heard of must be in force.
-func (b Bounds) firstTurn(v View, roll uint64) time.Duration {
+// firstQueryDelay returns the randomized time after which a gateway whose view has just
+// become stale queries the store at the latest: before a configuration that it has not
+// received must be in force.
+func (b Bounds) firstQueryDelay(v View, random uint64) time.Duration {
 	if !v.Known {
 		return b.AskWithin()
 	}
 	left := b.AskWithin()
 	if b.ConfigWithin > 0 {
-		left = min(left, b.ConfigWithin-answerMargin-v.Age)
+		left = min(left, b.ConfigWithin-answerTimeMargin-v.Age)
 	}
-	return part(left, roll)
+	return randomFraction(left, random)
 }
--- a/internal/core/reader/lateness_test.go
+++ b/internal/core/reader/lateness_test.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// lateness is a gateway that learned of a configuration too late.
+// lateness describes a gateway that received a configuration too late.
 type lateness struct {
 	gateway int
 	version int
-	// since is from when on the configuration was there, and the gateway's way to the
-	// store; by is how much later it learned.
+	// since is when the configuration existed and the gateway could reach the store; by
+	// is how much later the gateway received it.
 	since time.Duration
 	by    time.Duration
 }
 
-// worst returns the latest that a gateway learned of a configuration that it could have
-// asked for, from the moment at which both were there: the configuration, and the way, with
-// nothing else that befell the gateway. Those whose way was gone before the bound had passed
-// do not count.
-func (w *world) worst(bound time.Duration) lateness {
+// worst returns the largest delay with which a gateway received a configuration that it
+// could have requested. The delay counts from the moment at which the configuration
+// existed and the gateway could reach the store, with no other fault affecting it.
+// Periods that ended before the bound had passed do not count.
+func (w *simulation) worst(bound time.Duration) lateness {
 	var worst lateness
 	for _, m := range w.list {
 		for _, clear := range w.clear(m) {
@@ -38,15 +38,15 @@
 	return worst
 }
 
-// span is some time.
+// span is a period of simulated time.
 type span struct{ from, until time.Duration }
 
-// clear returns when nothing befell the gateway. A watch that waits when the store becomes
-// deaf hears nothing until its end.
-func (w *world) clear(m *member) []span {
+// clear returns the periods in which no fault affected the gateway. A watch that is
+// pending when the store compacts its history receives nothing until it ends.
+func (w *simulation) clear(m *member) []span {
 	spans := []span{{0, w.now.Sub(t0)}}
-	for _, t := range w.troubles {
-		if !t.hits(m.i) {
+	for _, t := range w.faults {
+		if !t.affects(m.i) {
 			continue
 		}
 		var next []span
@@ -63,16 +63,16 @@
 	return spans
 }
 
-// endOf is when the trouble has ended for all that it hit.
-func (w *world) endOf(t trouble) time.Duration {
-	if t.kind == deaf {
+// endOf returns when the fault has ended for all gateways that it affected.
+func (w *simulation) endOf(t fault) time.Duration {
+	if t.kind == compacted {
 		return t.until + w.bounds.UsualWait()
 	}
 	return t.until
 }
 
-// callsIn is the number of calls to the store in the time.
-func (w *world) callsIn(s span) int {
+// callsIn returns the number of calls to the store in the period.
+func (w *simulation) callsIn(s span) int {
 	n := 0
 	for _, at := range w.calls {
 		if at >= s.from && at < s.until {
--- a/internal/core/reader/reader.go
+++ b/internal/core/reader/reader.go
@@ -1,28 +1,29 @@
-// Package reader decides whom a gateway asks next for what the platform's store holds:
-// another gateway, or the store itself.
+// Package reader decides whom a gateway queries next for the state of the platform's
+// store: another gateway, or the store itself.
 //
-// In calm times one gateway of a region reads the store and the others follow it (package
-// fleet has the order). A Reader is one gateway's part of that. It asks one question after
-// the other, and is told what became of each. What was learned, and how old the proof of
-// it is, is kept elsewhere.
+// In normal operation one gateway of a region reads the store and the others follow it
+// (package fleet computes the order). A Reader is one gateway's part of that. It issues
+// one query after the other and is informed of the result of each. The state itself, and
+// the age of its proof, are kept elsewhere.
 //
-// Others are asked first, but nothing rests on them. Once what is known is too old, each
-// gateway asks the store by itself in time for the promise, and then again and again, after
-// at most Bounds.AskWithin, whatever it knows of others and of its own calls: a gateway that
-// has a way to the store knows what it holds within AskWithin and the time of one answer.
-// While nobody is answered, each gateway asks once in AskWithin, or up to turnSpread of it
-// sooner, and the first ones of their availability zones a little more often.
+// Other gateways are queried first, but no bound depends on them. Once the known state is
+// stale, each gateway queries the store by itself before a bound is exceeded, and then
+// repeatedly, after at most Bounds.AskWithin, whatever it knows of other gateways and of
+// its own calls. A gateway that can reach the store therefore has its state within
+// AskWithin and the time of one answer. While the store answers no gateway, each one
+// queries it once in AskWithin, or up to queryJitter of that sooner, and the first ones
+// of their availability zones a little more often.
 //
 // # Usage
 //
 //	r := reader.New(now)
 //	for {
-//		q := r.Next(now, view, bounds, fleet, roll)
+//		q := r.Next(now, view, bounds, fleet, random)
 //		switch q.Kind {
 //		case reader.AskPeer:
-//			// ask the gateway at q.Address, then r.PeerAnswered(now) or r.PeerFailed(known)
+//			// query the gateway at q.Address, then r.PeerAnswered(now) or r.PeerFailed(known)
 //		case reader.List, reader.Watch:
-//			// ask the store, then r.StoreAnswered(now) or r.StoreFailed(now, roll)
+//			// query the store, then r.StoreAnswered(now) or r.StoreFailed(now, random)
 //		case reader.Pause:
 //			// wait for q.Wait
 //		}
@@ -36,105 +37,108 @@
 )
 
 const (
-	// startPause is the least pause between two questions of a gateway that starts to
-	// others, and half of the longest. A hundred gateways ask three.
-	startPause = 100 * time.Millisecond
-	// gatherFor is the pause after a watch that brought changes. Changes come
-	// in groups, and every call is paid for.
-	gatherFor = 150 * time.Millisecond
-	// unansweredMost is the number of gateways that do not answer, one after the other,
-	// after which the store is asked instead.
-	unansweredMost = 2
+	// bootstrapPause is the shortest pause between two queries of a starting gateway to
+	// others, and half of the longest. Three seeds answer the queries of a hundred
+	// gateways.
+	bootstrapPause = 100 * time.Millisecond
+	// batchDelay is the pause after a watch that returned changes. Changes come in
+	// bursts, and every call costs money.
+	batchDelay = 150 * time.Millisecond
+	// maxUnanswered is the number of consecutive unanswered queries to other gateways
+	// after which the store is queried instead.
+	maxUnanswered = 2
 )
 
-// View is what a gateway knows of the store when it decides.
+// View describes what a gateway knows of the store when it decides.
 type View struct {
-	// Known is true if anything is known of the store, InForce if a configuration is in
+	// Known is true if any state of the store is known, InForce if a configuration is in
 	// force.
 	Known, InForce bool
-	// Age is the time since what is known was the newest.
+	// Age is the time since the known state was last proved current.
 	Age time.Duration
 }
 
-// Reader is one gateway's reading of the store. It is not safe for concurrent use.
+// Reader schedules one gateway's queries for the state of the store. It is not safe for
+// concurrent use.
 type Reader struct {
-	contact contact
-	// pauseUntil is until when nobody is asked.
+	storeHealth storeHealth
+	// pauseUntil is when the current pause ends.
 	pauseUntil time.Time
-	// listed is true until the first watch after a listing.
+	// listed is true from a listing until the first watch after it.
 	listed bool
-	// unfollowed is true once the store cannot tell what followed what is known.
-	unfollowed bool
-	// tryPeer is true after a call to the store failed: another gateway may still
-	// reach it.
+	// needsRelist is true once the store no longer has the changes that follow the known
+	// state.
+	needsRelist bool
+	// tryPeer is true after a call to the store failed: another gateway may still reach
+	// it.
 	tryPeer bool
-	// unanswered is the number of questions to other gateways in a row that had no answer.
+	// unanswered is the number of consecutive unanswered queries to other gateways.
 	unanswered int
-	// storeNext is true if the next question goes to the store, as others did not answer or
-	// the store has yet to tell everything.
+	// storeNext is true if the next query goes to the store, because other gateways did
+	// not answer or the store has yet to be listed.
 	storeNext bool
-	// turnAt is when this gateway asks the store at the latest, whoever else may ask it;
-	// zero while what is known is not too old.
-	turnAt time.Time
+	// queryDeadline is when this gateway queries the store at the latest, whichever
+	// others do; zero while the known state is not stale.
+	queryDeadline time.Time
 }
 
-// New returns the reader of a gateway that starts.
-func New(now time.Time) *Reader { return &Reader{contact: contact{goodAt: now}} }
+// New returns the reader of a starting gateway.
+func New(now time.Time) *Reader { return &Reader{storeHealth: storeHealth{lastSuccess: now}} }
 
-// Next returns what to ask next, by the roll of a dice where there is a choice.
-func (r *Reader) Next(now time.Time, v View, b Bounds, f *fleet.Fleet, roll uint64) Question {
-	turn := r.isTurn(now, v, b, roll)
-	if left := r.pauseUntil.Sub(now); left > 0 && !turn {
-		return Question{Kind: Pause, Wait: r.untilTurn(now, left)}
+// Next returns the next query; random selects between equal choices.
+func (r *Reader) Next(now time.Time, v View, b Bounds, f *fleet.Fleet, random uint64) Question {
+	due := r.queryDue(now, v, b, random)
+	if left := r.pauseUntil.Sub(now); left > 0 && !due {
+		return Question{Kind: Pause, Wait: r.capToDeadline(now, left)}
 	}
-	if !v.Known || !turn {
-		if q, ok := r.peer(now, v, b, f, roll); ok {
+	if !v.Known || !due {
+		if q, ok := r.peer(now, v, b, f, random); ok {
 			return q
 		}
 	}
 	r.storeNext = false
 	if !v.Known && f.WaitsForOthers(now) {
-		return Question{Kind: Pause, Wait: startPause + part(startPause, roll)}
+		return Question{Kind: Pause, Wait: bootstrapPause + randomFraction(bootstrapPause, random)}
 	}
-	return r.store(now, v, b, roll)
+	return r.store(now, v, b, random)
 }
 
-// isTurn reports whether this gateway asks the store now, whatever it knows of others. The
-// first time is drawn by the roll of a dice, so that not all of a fleet ask at once.
-func (r *Reader) isTurn(now time.Time, v View, b Bounds, roll uint64) bool {
+// queryDue reports whether this gateway queries the store now, whatever it knows of other
+// gateways. The first deadline is randomized so that not all gateways of a fleet query
+// the store at once.
+func (r *Reader) queryDue(now time.Time, v View, b Bounds, random uint64) bool {
 	if v.Known && !b.Late(v) {
-		r.turnAt = time.Time{}
+		r.queryDeadline = time.Time{}
 		return false
 	}
-	if r.turnAt.IsZero() {
-		r.turnAt = now.Add(b.firstTurn(v, roll))
+	if r.queryDeadline.IsZero() {
+		r.queryDeadline = now.Add(b.firstQueryDelay(v, random))
 	}
-	return !now.Before(r.turnAt)
+	return !now.Before(r.queryDeadline)
 }
 
-// untilTurn returns the time, or what is left until this gateway asks the store if that is
-// less.
-func (r *Reader) untilTurn(now time.Time, d time.Duration) time.Duration {
-	if r.turnAt.IsZero() {
+// capToDeadline returns d, or the time until the query deadline if that is less.
+func (r *Reader) capToDeadline(now time.Time, d time.Duration) time.Duration {
+	if r.queryDeadline.IsZero() {
 		return d
 	}
-	return min(d, r.turnAt.Sub(now))
+	return min(d, r.queryDeadline.Sub(now))
 }
 
-// store returns the question to the store.
-func (r *Reader) store(now time.Time, v View, b Bounds, roll uint64) Question {
-	if !r.turnAt.IsZero() {
-		r.turnAt = now.Add(b.nextTurn(roll))
+// store returns the query to the store.
+func (r *Reader) store(now time.Time, v View, b Bounds, random uint64) Question {
+	if !r.queryDeadline.IsZero() {
+		r.queryDeadline = now.Add(b.nextQueryDelay(random))
 	}
-	if !v.Known || r.unfollowed {
+	if !v.Known || r.needsRelist {
 		return Question{Kind: List}
 	}
-	return Question{Kind: Watch, Wait: r.watch(v, b)}
+	return Question{Kind: Watch, Wait: r.watchWait(v, b)}
 }
 
-// peer returns the question to another gateway; false if it is the store's turn. After
-// a call to the store has failed, any other gateway may know more.
-func (r *Reader) peer(now time.Time, v View, b Bounds, f *fleet.Fleet, roll uint64) (Question, bool) {
+// peer returns the query to another gateway; false if the store is to be queried. After a
+// failed call to the store, any other gateway may have newer state.
+func (r *Reader) peer(now time.Time, v View, b Bounds, f *fleet.Fleet, random uint64) (Question, bool) {
 	if r.storeNext {
 		return Question{}, false
 	}
@@ -142,78 +146,79 @@
 	var address string
 	var ok bool
 	if r.tryPeer {
-		address, ok = f.Other(now, roll)
+		address, ok = f.Other(now, random)
 	} else {
-		address, ok = f.Next(now, b.Late(v), roll)
+		address, ok = f.Next(now, b.Late(v), random)
 	}
 	r.tryPeer = false
-	timeout = max(r.untilTurn(now, timeout), min(timeout, leastTimeout))
+	timeout = max(r.capToDeadline(now, timeout), min(timeout, minTimeout))
 	return Question{Kind: AskPeer, Address: address, Wait: min(wait, timeout), Timeout: timeout}, ok
 }
 
-// PeerAnswered notes that another gateway answered.
+// PeerAnswered records that another gateway answered.
 func (r *Reader) PeerAnswered(now time.Time) {
 	r.unanswered = 0
-	r.contact.answeredByPeer(now)
+	r.storeHealth.answeredByPeer(now)
 }
 
-// PeerFailed notes that another gateway did not answer: one is left for the next one, but
-// a gateway that reaches no other reads the store itself, and so does one that knows nothing.
+// PeerFailed records that another gateway did not answer. After one failure the next
+// gateway is tried. A gateway that reaches no other, or that knows no state yet, queries
+// the store itself.
 func (r *Reader) PeerFailed(known bool) {
 	r.unanswered++
-	if !known || r.unanswered >= unansweredMost {
+	if !known || r.unanswered >= maxUnanswered {
 		r.unanswered = 0
 		r.storeNext = true
 	}
 }
 
-// StoreFailed notes that a call to the store failed; the roll of a dice chooses the pause
-// that follows.
-func (r *Reader) StoreFailed(now time.Time, roll uint64) {
+// StoreFailed records that a call to the store failed, and starts a randomized pause.
+func (r *Reader) StoreFailed(now time.Time, random uint64) {
 	r.tryPeer = true
-	half := r.contact.failed(now) / 2
-	r.pauseUntil = now.Add(half + part(half, roll))
+	half := r.storeHealth.failed(now) / 2
+	r.pauseUntil = now.Add(half + randomFraction(half, random))
 }
 
-// StoreAnswered notes that the store answered, and returns how it had been lost.
+// StoreAnswered records that the store answered, and returns how it had been lost.
 func (r *Reader) StoreAnswered(now time.Time) Loss {
-	loss := r.contact.loss(now)
-	r.contact.succeeded(now)
+	loss := r.storeHealth.loss(now)
+	r.storeHealth.succeeded(now)
 	return loss
 }
 
 // Lost reports whether the latest call to the store failed.
-func (r *Reader) Lost() bool { return r.contact.lost() }
+func (r *Reader) Lost() bool { return r.storeHealth.lost() }
 
-// Listed notes that everything was read.
+// Listed records that everything was read.
 func (r *Reader) Listed() {
 	r.listed = true
-	r.unfollowed = false
+	r.needsRelist = false
 }
 
-// Watched notes that a watch brought what followed, and whether there was anything.
+// Watched records that a watch returned, and whether there were changes.
 func (r *Reader) Watched(now time.Time, news bool) {
 	r.listed = false
 	if news {
-		r.pauseUntil = now.Add(gatherFor)
+		r.pauseUntil = now.Add(batchDelay)
 	}
 }
 
-// Told notes that another gateway told what it knows, and whether that goes further than
-// what was known.
+// Told records that another gateway sent its state, and whether that is ahead of what was
+// known.
 func (r *Reader) Told(further bool) {
 	r.listed = false
 	if further {
-		r.unfollowed = false
+		r.needsRelist = false
 	}
 }
 
-// CannotFollow notes that the store cannot tell what followed what is known. A gateway
-// whose view is too old reads everything at once: its question is not answered yet.
+// CannotFollow records that the store no longer has the changes that follow the known
+// state. A gateway whose view is stale lists the store at once, because its query has not
+// been answered yet.
 func (r *Reader) CannotFollow() {
-	r.unfollowed = true
-	r.storeNext = !r.turnAt.IsZero()
+	r.needsRelist = true
+	r.storeNext = !r.queryDeadline.IsZero()
 }
 
-// Unfollowed reports whether everything is to be read anew.
-func (r *Reader) Unfollowed() bool { return r.unfollowed }
+// Unfollowed reports whether the store must be listed again.
+func (r *Reader) Unfollowed() bool { return r.needsRelist }
--- a/internal/core/reader/reader_test.go
+++ b/internal/core/reader/reader_test.go
@@ -7,26 +7,26 @@
 	"github.com/matryer/is"
 )
 
-// A watch that follows one with changes ends before the view is too old for those who
-// follow this gateway.
+// A watch that follows one with changes returns before the view is stale for the
+// followers of this gateway.
 func TestWatchAfterChanges(t *testing.T) {
 	tests := []struct {
 		name string
 		age  time.Duration
-		// least and most are the wait, as a part of the usual one.
+		// least and most bound the wait, as a fraction of the usual one.
 		least, most float64
 	}{
-		{"just proved", 0, 0.95, 1},
+		{"just proved current", 0, 0.95, 1},
 		{"half as old as a watch", 1250 * time.Millisecond, 0.4, 0.6},
-		{"as old as a watch", 2500 * time.Millisecond, leastWatchShare, leastWatchShare},
-		{"much older", time.Minute, leastWatchShare, leastWatchShare},
+		{"as old as a watch", 2500 * time.Millisecond, minWatchShare, minWatchShare},
+		{"much older", time.Minute, minWatchShare, minWatchShare},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			b := Bounds{KeyAge: 5 * time.Second}
 			is.Equal(b.UsualWait(), 2500*time.Millisecond)
-			share := float64(b.untilOld(View{InForce: true, Age: tt.age})) / float64(b.UsualWait())
+			share := float64(b.nextWatchWait(View{InForce: true, Age: tt.age})) / float64(b.UsualWait())
 			is.True(share >= tt.least && share <= tt.most)
 		})
 	}
