--- a/internal/core/config/build.go
+++ b/internal/core/config/build.go
@@ -11,14 +11,14 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// New accepts or rejects the whole document. On rejection the Config is nil
-// and every fault is named.
+// New accepts or rejects the whole document. On rejection the Config is nil and all
+// faults are returned.
 func New(doc *gladegaugev1.Configuration) (*Config, Faults) {
 	var f Faults
 	names := make(map[string]bool, len(doc.GetOrganisations()))
 	for i, o := range doc.GetOrganisations() {
 		if names[o.GetName()] {
-			f.Add(fmt.Sprintf("organisations[%d].name", i), "%q stands twice", o.GetName())
+			f.Add(fmt.Sprintf("organisations[%d].name", i), "%q appears twice", o.GetName())
 		}
 		names[o.GetName()] = true
 	}
@@ -28,8 +28,8 @@
 	return Build(nil, Split(doc, 0))
 }
 
-// Build accepts or rejects a published document. What did not change since
-// base, which may be nil, is shared with it and not checked again.
+// Build accepts or rejects a published document. What did not change since base, which
+// may be nil, is shared with it and not validated again.
 func Build(base *Config, doc Document) (*Config, Faults) {
 	b := builder{base: base, doc: doc}
 	b.next = &Config{
@@ -50,7 +50,7 @@
 	return b.next, nil
 }
 
-// builder holds the work of one Build.
+// builder holds the state of one Build.
 type builder struct {
 	base        *Config
 	doc         Document
@@ -59,7 +59,7 @@
 	coreChanged bool
 }
 
-// Missing returns the shards of a manifest that base does not hold yet.
+// Missing returns the shards of a manifest that base does not hold.
 func Missing(base *Config, m *gladegaugev1.Manifest) []string {
 	held := make(map[string][]byte)
 	if base != nil {
@@ -76,7 +76,7 @@
 	return names
 }
 
-// decode checks a shard against the manifest and reads it.
+// decode checks a shard against the manifest and decodes it.
 func (b *builder) decode(ref *gladegaugev1.ShardRef) (*gladegaugev1.Configuration, bool) {
 	field := "shards." + ref.GetName()
 	value, ok := b.doc.Shards[ref.GetName()]
@@ -101,7 +101,7 @@
 	return part, true
 }
 
-// core reads the classes and pools, or takes them from base.
+// core decodes the classes and pools, or shares those of base.
 func (b *builder) core() {
 	for _, ref := range b.doc.Manifest.GetShards() {
 		if ref.GetName() != CoreShard {
@@ -138,8 +138,8 @@
 	for i, class := range in {
 		field := fmt.Sprintf("classes[%d]", i)
 		c := newClass(&b.faults, field, class)
-		if _, twice := b.next.classes[c.Name]; twice {
-			b.faults.Add(field+".name", "%q stands twice", c.Name)
+		if _, duplicate := b.next.classes[c.Name]; duplicate {
+			b.faults.Add(field+".name", "%q appears twice", c.Name)
 		}
 		b.next.classes[c.Name] = c
 	}
@@ -154,10 +154,10 @@
 	for i, pool := range in {
 		field := fmt.Sprintf("pools[%d]", i)
 		p := newPool(&b.faults, field, pool)
-		if _, twice := b.next.pools[p.Name]; twice {
-			b.faults.Add(field+".name", "%q stands twice", p.Name)
+		if _, duplicate := b.next.pools[p.Name]; duplicate {
+			b.faults.Add(field+".name", "%q appears twice", p.Name)
 		}
-		if other, twice := b.next.targets[p.Target()]; twice {
+		if other, duplicate := b.next.targets[p.Target()]; duplicate {
 			b.faults.Add(field+".model", "%q is served by pool %q already", p.Target(), other.Name)
 		}
 		b.next.pools[p.Name] = p
@@ -166,7 +166,7 @@
 	}
 }
 
-// checkServed names the classes that no pool serves.
+// checkServed adds a fault for each class that no pool serves.
 func (b *builder) checkServed(classes []*gladegaugev1.Class, pools []*gladegaugev1.Pool) {
 	served := make(map[string]bool)
 	for _, p := range pools {
@@ -196,7 +196,7 @@
 	}
 }
 
-// organisations reads the shards that changed and shares the others.
+// organisations decodes the shards that changed and shares the others.
 func (b *builder) organisations() {
 	n := len(b.doc.Manifest.GetShards()) - 1
 	reuse := b.base != nil && len(b.base.shards) == n
@@ -254,8 +254,8 @@
 	if shardOf(o.Name, n) != ref.GetName() {
 		b.faults.Add(field, "does not belong to shard %q", ref.GetName())
 	}
-	if _, twice := shard.organisations[o.Name]; twice {
-		b.faults.Add(field+".name", "stands twice")
+	if _, duplicate := shard.organisations[o.Name]; duplicate {
+		b.faults.Add(field+".name", "appears twice")
 	}
 	for i, k := range o.keys {
 		if other, held := b.next.keys.find(k); held {
@@ -277,8 +277,8 @@
 	}
 }
 
-// checkReferences checks that the organisation's default classes exist, are
-// its own and are served by the pool they are for.
+// checkReferences checks that the organisation's default classes exist, that the
+// organisation may use them, and that they are served by the pool of their target.
 func (b *builder) checkReferences(o *Organisation) {
 	for target, name := range o.defaults {
 		field := fmt.Sprintf("organisations[%q].defaults[%q]", o.Name, target)
--- a/internal/core/config/changes.go
+++ b/internal/core/config/changes.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Changes lists what next changes against old, a line each.
+// Changes describes the differences between old and next, one line each.
 func Changes(old, next *Config) []string {
 	lines := diff("class", old.classes, next.classes)
 	lines = append(lines, diff("pool", old.pools, next.pools)...)
--- a/internal/core/config/class.go
+++ b/internal/core/config/class.go
@@ -5,7 +5,7 @@
 // Tiers is the number of priority tiers; tier 1 is the highest.
 const Tiers = 5
 
-// Class is a kind of request with one latency target and one priority tier.
+// Class is a category of requests with one latency target and one priority tier.
 type Class struct {
 	Name string
 	// Tier is 1 (highest) to Tiers (lowest).
@@ -16,13 +16,13 @@
 	FirstToken time.Duration
 	// Completion is the target for the whole answer; 0 means none.
 	Completion time.Duration
-	// Useful is the time after which the answer no longer matters.
+	// Useful is the time after which the answer has no value any more.
 	Useful time.Duration
-	// FloorShare is the share of an upstream's work that the class gets
-	// whenever it waits, from 0 to MaxFloorShare.
+	// FloorShare is the minimum share of an upstream's capacity that the class gets while
+	// it has waiting requests, from 0 to MaxFloorShare.
 	FloorShare     float64
 	ExpectedTokens int
-	// Objective is the share of requests that should meet the target.
+	// Objective is the fraction of requests that should meet the target.
 	Objective float64
 
 	organisations map[string]bool
@@ -33,7 +33,7 @@
 	return len(c.organisations) == 0 || c.organisations[organisation]
 }
 
-// StartTarget is the time by which a request should have begun to be served.
+// StartTarget returns the time by which processing of a request should have started.
 func (c *Class) StartTarget() time.Duration {
 	if c.FirstToken > 0 {
 		return c.FirstToken
@@ -41,7 +41,7 @@
 	return c.Completion
 }
 
-// Met reports whether an answer with these times met the targets.
+// Met reports whether an answer with these times meets the targets.
 func (c *Class) Met(firstToken, completion time.Duration) bool {
 	if c.FirstToken > 0 && firstToken > c.FirstToken {
 		return false
--- a/internal/core/config/config.go
+++ b/internal/core/config/config.go
@@ -41,7 +41,7 @@
 	return class, ok
 }
 
-// Classes returns the classes in order of tier, then name.
+// Classes returns the classes, sorted by tier, then name.
 func (c *Config) Classes() []*Class {
 	return slices.SortedFunc(maps.Values(c.classes), compareClasses)
 }
@@ -62,7 +62,7 @@
 	return p, ok
 }
 
-// Pools returns the pools in order of name.
+// Pools returns the pools, sorted by name.
 func (c *Config) Pools() []*Pool {
 	names := slices.Sorted(maps.Keys(c.pools))
 	pools := make([]*Pool, len(names))
@@ -72,8 +72,7 @@
 	return pools
 }
 
-// PoolFor returns the pool that callers address by target, a model or a plain
-// service.
+// PoolFor returns the pool of a target, which is a model or a plain service.
 func (c *Config) PoolFor(target string) (*Pool, bool) {
 	p, ok := c.targets[target]
 	return p, ok
@@ -107,8 +106,8 @@
 	return c.Organisation(name)
 }
 
-// Organisations returns the organisations in order of name. It is for tools;
-// serving a request looks up one.
+// Organisations returns the organisations, sorted by name. It is meant for tools; the
+// request path looks up a single one.
 func (c *Config) Organisations() []*Organisation {
 	all := c.organisations()
 	names := slices.Sorted(maps.Keys(all))
--- a/internal/core/config/config_test.go
+++ b/internal/core/config/config_test.go
@@ -42,7 +42,7 @@
 	}{
 		{"revision", func(c *gladegaugev1.Configuration) { c.Revision = 0 }, "revision"},
 		{"class name", func(c *gladegaugev1.Configuration) { c.Classes[0].Name = "a b" }, "classes[0].name"},
-		{"class twice", func(c *gladegaugev1.Configuration) { c.Classes[1].Name = "ruling" }, "classes[1].name"},
+		{"duplicate class", func(c *gladegaugev1.Configuration) { c.Classes[1].Name = "ruling" }, "classes[1].name"},
 		{"tier", func(c *gladegaugev1.Configuration) { c.Classes[0].Tier = 6 }, "classes[0].tier"},
 		{"no target", func(c *gladegaugev1.Configuration) { c.Classes[0].FirstTokenMs = 0 }, "classes[0].first_token_ms"},
 		{"useful below target", func(c *gladegaugev1.Configuration) { c.Classes[0].UsefulMs = 3 }, "classes[0].useful_ms"},
@@ -57,20 +57,20 @@
 		{"pool slots", func(c *gladegaugev1.Configuration) { c.Pools[0].Slots = 0 }, "pools[0].slots"},
 		{"pool class", func(c *gladegaugev1.Configuration) { c.Pools[0].Classes[1] = "vip" }, "pools[0].classes[1]"},
 		{"class without pool", func(c *gladegaugev1.Configuration) { c.Pools[0].Classes = c.Pools[0].Classes[:1] }, "classes[1]"},
-		{"class without pool, not in order of tier", func(c *gladegaugev1.Configuration) {
+		{"class without pool, not sorted by tier", func(c *gladegaugev1.Configuration) {
 			c.Classes = append([]*gladegaugev1.Class{{Name: "idle", Tier: 4, FirstTokenMs: 9}}, c.Classes...)
 		}, "classes[0]"},
-		{"model twice", func(c *gladegaugev1.Configuration) {
+		{"duplicate model", func(c *gladegaugev1.Configuration) {
 			c.Pools = append(c.Pools, proto.Clone(c.Pools[0]).(*gladegaugev1.Pool))
 			c.Pools[1].Name = "other"
 		}, "pools[1].model"},
-		{"organisation twice", func(c *gladegaugev1.Configuration) { c.Organisations[1].Name = "hall" }, "organisations[1].name"},
+		{"duplicate organisation", func(c *gladegaugev1.Configuration) { c.Organisations[1].Name = "hall" }, "organisations[1].name"},
 		{"key", func(c *gladegaugev1.Configuration) { c.Organisations[0].KeySha256[0] = "abc" }, `organisations["hall"].key_sha256[0]`},
-		{"key twice", func(c *gladegaugev1.Configuration) { c.Organisations[1].KeySha256[0] = hexKey("k1") }, "key_sha256[0]"},
+		{"duplicate key", func(c *gladegaugev1.Configuration) { c.Organisations[1].KeySha256[0] = hexKey("k1") }, "key_sha256[0]"},
 		{"weight", func(c *gladegaugev1.Configuration) { c.Organisations[0].Weight = -1 }, `organisations["hall"].weight`},
 		{"rate", func(c *gladegaugev1.Configuration) { c.Organisations[0].RatePerSecond = math.Inf(1) }, `organisations["hall"].rate_per_second`},
 		{"default class", func(c *gladegaugev1.Configuration) { c.Organisations[0].Defaults[0].Class = "vip" }, `organisations["hall"].defaults["judge"].class`},
-		{"default of another", func(c *gladegaugev1.Configuration) {
+		{"default class of another organisation", func(c *gladegaugev1.Configuration) {
 			c.Organisations[1].Defaults = []*gladegaugev1.DefaultClass{{Model: "judge", Class: "report"}}
 		}, `organisations["club"].defaults["judge"].class`},
 	}
@@ -115,8 +115,8 @@
 	return doc
 }
 
-// TestBuildOnBase applies a change and gets what a build from nothing gets,
-// with all that did not change shared.
+// TestBuildOnBase applies a change to a base and expects the same result as a build
+// without a base.
 func TestBuildOnBase(t *testing.T) {
 	is := is.New(t)
 	doc := many(1000)
@@ -144,7 +144,7 @@
 	is.Equal(Changes(base, next), []string{"organisation organisation-500: changed"})
 }
 
-// TestBuildRefusesBrokenShards covers values that were cut or swapped.
+// TestBuildRefusesBrokenShards covers shards that are missing or truncated.
 func TestBuildRefusesBrokenShards(t *testing.T) {
 	tests := []struct {
 		name   string
--- a/internal/core/config/doc.go
+++ b/internal/core/config/doc.go
@@ -1,8 +1,8 @@
-// Package config holds a configuration that was accepted as a whole.
+// Package config holds a validated configuration.
 //
-// A Config is immutable. It is built from the protobuf document by New, which
-// is a pure function: every process, and the operators' check before
-// publication, reaches the same verdict with the same faults.
+// A Config is immutable. New builds it from the protobuf document as a pure function:
+// every process, and the operators' check before publication, reaches the same result
+// with the same faults.
 //
 // # Usage
 //
--- a/internal/core/config/fault.go
+++ b/internal/core/config/fault.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// Fault names a field of the document and what is wrong with it.
+// Fault is a validation error of one field of the document.
 type Fault struct {
 	Field   string
 	Problem string
-	// Transient is true if the same document may be read without the fault
-	// later, such as a shard that was cut short on its way.
+	// Transient is true if a later read of the same document may not have the fault, for
+	// example if a shard was truncated in transit.
 	Transient bool
 }
 
@@ -19,10 +19,10 @@
 	return f.Field + ": " + f.Problem
 }
 
-// Faults are all faults of one document.
+// Faults holds all validation errors of one document.
 type Faults []Fault
 
-// String joins the faults, a line each.
+// String joins the faults, one per line.
 func (f Faults) String() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
@@ -31,12 +31,12 @@
 	return strings.Join(lines, "\n")
 }
 
-// Add notes one more fault.
+// Add appends a fault.
 func (f *Faults) Add(field, format string, args ...any) {
 	*f = append(*f, Fault{Field: field, Problem: fmt.Sprintf(format, args...)})
 }
 
-// addTransient notes a fault of the transport rather than of the document.
+// addTransient appends a fault of the transport rather than of the document.
 func (f *Faults) addTransient(field, problem string) {
 	*f = append(*f, Fault{Field: field, Problem: problem, Transient: true})
 }
--- a/internal/core/config/key.go
+++ b/internal/core/config/key.go
@@ -14,7 +14,7 @@
 	return sha256.Sum256([]byte(bearer))
 }
 
-// parseKey reads the lower-case hexadecimal form.
+// parseKey parses the hexadecimal form of a key.
 func parseKey(text string) (Key, bool) {
 	var k Key
 	b, err := hex.DecodeString(text)
@@ -25,15 +25,15 @@
 	return k, true
 }
 
-// keyBuckets is the number of parts of a key index. A change copies only the
-// parts that it touches.
+// keyBuckets is the number of buckets of a key index. A change copies only the buckets
+// that it affects.
 const keyBuckets = 256
 
-// keyIndex finds an organisation by key. It is immutable.
+// keyIndex maps keys to organisations. It is immutable.
 type keyIndex [keyBuckets]map[Key]string
 
-// find returns the organisation that holds the key. The map look-up goes by
-// hash, and the last comparison takes constant time.
+// find returns the organisation that holds the key. The bucket is selected by the first
+// byte of the hash, and the keys are compared in constant time.
 func (x *keyIndex) find(k Key) (string, bool) {
 	for held, name := range x[k[0]] {
 		if subtle.ConstantTimeCompare(held[:], k[:]) == 1 {
@@ -43,7 +43,8 @@
 	return "", false
 }
 
-// with returns an index with the keys of one organisation replaced.
+// with returns an index with the keys of old replaced by those of next; either may be
+// nil.
 func (x *keyIndex) with(old, next *Organisation) *keyIndex {
 	fresh := *x
 	copied := [keyBuckets]bool{}
--- a/internal/core/config/organisation.go
+++ b/internal/core/config/organisation.go
@@ -1,11 +1,11 @@
 package config
 
-// Organisation is one that sends requests, with its keys, weight and limits.
+// Organisation is a tenant that sends requests, with its keys, weight and limits.
 type Organisation struct {
 	Name string
-	// Weight is the share relative to other waiting organisations.
+	// Weight is the share relative to other organisations with waiting requests.
 	Weight float64
-	// Rate is in requests a second over all entries; 0 means no limit.
+	// Rate is the limit in requests a second over all entries; 0 means no limit.
 	Rate  float64
 	Burst int
 
@@ -13,7 +13,7 @@
 	keys     []Key
 }
 
-// DefaultClass returns the class of requests for target without a class header.
+// DefaultClass returns the class of requests to target without a class header.
 func (o *Organisation) DefaultClass(target string) (string, bool) {
 	name, ok := o.defaults[target]
 	return name, ok
--- a/internal/core/config/pool.go
+++ b/internal/core/config/pool.go
@@ -1,6 +1,6 @@
 package config
 
-// Kind tells model engines from plain services.
+// Kind distinguishes model engines from plain services.
 type Kind int
 
 // Kinds of pool.
@@ -13,17 +13,17 @@
 type Pool struct {
 	Name string
 	Kind Kind
-	// Model is the name callers use; empty for plain services.
+	// Model is the model name in requests; empty for plain services.
 	Model    string
 	Classes  []string
 	Slots    int
 	Version  string
 	Adapters []string
-	// Role is in the engines' own words; empty leaves it as it is.
+	// Role is the role as the engines name it; empty leaves the engine's role unchanged.
 	Role string
 }
 
-// Target is the name that callers address: the model, or the pool itself.
+// Target returns the name that requests address: the model, or the pool itself.
 func (p *Pool) Target() string {
 	if p.Kind == KindModel {
 		return p.Model
--- a/internal/core/config/shard.go
+++ b/internal/core/config/shard.go
@@ -13,25 +13,25 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// CoreShard is the shard of classes and pools.
+// CoreShard is the shard that holds the classes and pools.
 const CoreShard = "core"
 
-// organisationPrefix starts the name of each shard of organisations.
+// organisationPrefix is the name prefix of the shards that hold organisations.
 const organisationPrefix = "organisations-"
 
-// MaxShardBytes is the largest value the platform holds.
+// MaxShardBytes is the largest value that the platform's store accepts.
 const MaxShardBytes = 1 << 20
 
-// Document is a configuration as it is published: a manifest and its shards by
-// name, each a deterministic protobuf encoding.
+// Document is a configuration in its published form: a manifest and its shards by name,
+// each a deterministic protobuf encoding.
 type Document struct {
 	Manifest *gladegaugev1.Manifest
 	Shards   map[string][]byte
 }
 
-// Split cuts the document into shards and builds their manifest. The number of
-// shards grows with the square root of the organisations, which keeps the sum
-// of the manifest and one shard small.
+// Split divides the document into shards and builds their manifest. The number of shards
+// grows with the square root of the number of organisations, which keeps the combined
+// size of the manifest and one shard small.
 func Split(doc *gladegaugev1.Configuration, parent uint64) Document {
 	n := shardCount(len(doc.GetOrganisations()))
 	parts := make(map[string]*gladegaugev1.Configuration, n+1)
@@ -65,7 +65,8 @@
 	return out
 }
 
-// shardCount is the power of two next above twice the square root of n.
+// shardCount returns the smallest power of two that is at least twice the square root of
+// n.
 func shardCount(n int) int {
 	count := 1
 	for count*count < 4*n {
@@ -78,7 +79,7 @@
 	return fmt.Sprintf("%s%04d", organisationPrefix, i)
 }
 
-// shardOf returns the shard that holds the organisation, of n shards.
+// shardOf returns the name of the shard, out of n, that holds the organisation.
 func shardOf(organisation string, n int) string {
 	if n == 0 {
 		return ""
@@ -86,8 +87,8 @@
 	return shardName(int(xxhash.Sum64String(organisation) % uint64(n)))
 }
 
-// ManifestDigest identifies the content that a manifest names. The revision is
-// left out, so that equal content has equal digests.
+// ManifestDigest identifies the content of a manifest. The revision is excluded, so that
+// equal content has equal digests.
 func ManifestDigest(m *gladegaugev1.Manifest) string {
 	h := sha256.New()
 	for _, ref := range m.GetShards() {
@@ -97,6 +98,6 @@
 	return hex.EncodeToString(h.Sum(nil)[:digestBytes])
 }
 
-// digestBytes is enough to tell documents apart by accident; the shards
-// themselves are checked against whole digests.
+// digestBytes is long enough to avoid accidental collisions between documents; the shards
+// themselves are verified against full digests.
 const digestBytes = 8
--- a/internal/core/config/validate.go
+++ b/internal/core/config/validate.go
@@ -10,7 +10,7 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// Bounds of a configuration.
+// Limits and defaults of a configuration.
 const (
 	MaxFloorShare      = 0.2
 	MaxFloorSum        = 0.5
@@ -97,16 +97,16 @@
 }
 
 func checkShares(f *Faults, field string, c *Class) {
-	if !upTo(c.FloorShare, MaxFloorShare) {
+	if !inRange(c.FloorShare, MaxFloorShare) {
 		f.Add(field+".floor_share", "%v is not from 0 to %v", c.FloorShare, MaxFloorShare)
 	}
-	if !upTo(c.Objective, 1) || c.Objective == 1 {
+	if !inRange(c.Objective, 1) || c.Objective == 1 {
 		f.Add(field+".objective", "%v is not from 0 to below 1", c.Objective)
 	}
 }
 
-// upTo reports whether v is from 0 to high; it is false for NaN as well.
-func upTo(v, high float64) bool {
+// inRange reports whether v is from 0 to high; it is false for NaN.
+func inRange(v, high float64) bool {
 	return v >= 0 && v <= high
 }
 
@@ -160,10 +160,10 @@
 		Burst:    int(in.GetBurst()),
 		defaults: make(map[string]string, len(in.GetDefaults())),
 	}
-	if !upTo(o.Weight, maxWeight) {
+	if !inRange(o.Weight, maxWeight) {
 		f.Add(field+".weight", "%v is not from 0 to %d", o.Weight, maxWeight)
 	}
-	if !upTo(o.Rate, maxRate) {
+	if !inRange(o.Rate, maxRate) {
 		f.Add(field+".rate_per_second", "%v is not from 0 to %.0f", o.Rate, maxRate)
 	}
 	if o.Weight == 0 {
@@ -186,7 +186,7 @@
 	return o
 }
 
-// CheckHost returns the faults of a host on the platform's list.
+// CheckHost returns the faults of a host in the platform's list.
 func CheckHost(h *gladegaugev1.Host) Faults {
 	var f Faults
 	checkName(&f, "id", h.GetId())
--- a/internal/core/feed/feed.go
+++ b/internal/core/feed/feed.go
@@ -1,11 +1,11 @@
-// Package feed keeps the entries of the platform's store as they were read, for
-// gateways that follow this one instead of reading the store themselves.
+// Package feed caches the entries of the platform's store, for gateways that follow this
+// one instead of reading the store themselves.
 //
-// Each entry is kept with the revision at which this feed learned of it, so that
-// a follower that tells how far it knows the store gets what is new to it, and
-// nothing else. Removed entries are remembered for a while; a follower that is
-// further behind gets everything, and so does one whose position is of an earlier
-// epoch of the store.
+// Each entry is kept with the revision at which this feed received it. A follower that
+// reports its position in the store therefore gets exactly the entries that are new to
+// it. Removed entries are kept as tombstones for a while. A follower that is further
+// behind gets a full snapshot, and so does one whose position is in an earlier epoch of
+// the store.
 //
 // # Usage
 //
@@ -24,74 +24,75 @@
 	"time"
 )
 
-// removedMost is the number of removed entries that are remembered. When there
-// are more they are forgotten, and a follower that may have missed one gets
-// everything anew.
-const removedMost = 1000
+// maxTombstones is the number of removed entries that are remembered. When there are more
+// they are all dropped, and a follower that may have missed one gets a full snapshot.
+const maxTombstones = 1000
 
 // Entry is one entry of the store.
 type Entry struct {
 	Key string
-	// Value is as it was read; it is not decoded here.
+	// Value is the raw value; this package does not decode it.
 	Value   []byte
 	Removed bool
-	// Created is the revision at which the entry was made.
+	// Created is the revision at which the entry was created.
 	Created int64
-	// Written is the revision of its latest change; 0 if another gateway told it.
+	// Written is the revision of its latest change; 0 if it was received from another
+	// gateway.
 	Written int64
-	// Version is the one that a value names for itself; 0 if it names none. Versions only
-	// rise, also where a copy of the store holds a lower one.
+	// Version is the version that the value itself contains; 0 if it contains none.
+	// Versions only rise, even if a restored copy of the store holds a lower one.
 	Version int64
-	// ReadAt is when it was read from the store, by whichever gateway: some of what
-	// it says holds for a while only.
+	// ReadAt is when the entry was read from the store, by whichever gateway; some values
+	// are valid only for a limited time.
 	ReadAt time.Time
 }
 
-// same reports whether both say the same.
+// same reports whether both entries have the same content.
 func (e Entry) same(other Entry) bool {
 	return e.Removed == other.Removed && e.Created == other.Created && bytes.Equal(e.Value, other.Value)
 }
 
-// kept is an entry and the revision at which this feed learned of it.
-type kept struct {
+// record is an entry with the revision at which this feed received it.
+type record struct {
 	Entry
-	learned int64
+	learnedRevision int64
 }
 
-// Batch is what somebody has to learn to know as much as the feed.
+// Batch holds the entries that a follower needs to have the same state as the feed.
 type Batch struct {
-	// Position is the one in the store up to which everything is known.
+	// Position is the position in the store up to which the feed is complete.
 	Position Position
 	Entries  []Entry
-	// Whole is true if the entries are everything that there is.
+	// Whole is true if the batch is a full snapshot.
 	Whole bool
 }
 
-// Feed is a copy of the store's entries. It is not safe for concurrent use.
+// Feed is a cache of the store's entries. It is not safe for concurrent use.
 type Feed struct {
-	entries  map[string]kept
+	entries  map[string]record
 	position Position
-	// floor is the revision of this epoch from which on changes are known.
-	floor int64
-	// removed is the number of removed entries that are remembered.
-	removed int
+	// compactedRevision is the revision of this epoch since which all changes are known.
+	compactedRevision int64
+	// tombstones is the number of removed entries that are remembered.
+	tombstones int
 }
 
-// New returns a feed that knows nothing.
-func New() *Feed { return &Feed{entries: make(map[string]kept)} }
+// New returns an empty feed.
+func New() *Feed { return &Feed{entries: make(map[string]record)} }
 
-// Position returns the one up to which everything is known.
+// Position returns the position up to which the feed is complete.
 func (f *Feed) Position() Position { return f.position }
 
-// Replace takes everything that there is at the position. It changes nothing if
-// more is known already. What was learned in an earlier epoch is forgotten.
+// Replace replaces the content of the feed by a full listing at the position. It changes
+// nothing if the feed is already ahead. Entries of an earlier epoch are dropped, except
+// those with a higher version of their own.
 func (f *Feed) Replace(p Position, entries []Entry) {
 	if p.Before(f.position) {
 		return
 	}
 	if !f.position.Known() || f.position.Epoch < p.Epoch {
 		newer := f.newerThan(entries)
-		*f = Feed{entries: make(map[string]kept, len(entries)), position: p, floor: p.Revision}
+		*f = Feed{entries: make(map[string]record, len(entries)), position: p, compactedRevision: p.Revision}
 		f.Add(p, entries)
 		f.Add(p, newer)
 		return
@@ -99,7 +100,7 @@
 	f.Add(p, append(f.changed(entries), f.missing(entries)...))
 }
 
-// newerThan returns the kept entries with a higher version than the given ones.
+// newerThan returns the cached entries with a higher version than the given ones.
 func (f *Feed) newerThan(entries []Entry) []Entry {
 	versions := make(map[string]int64)
 	for _, e := range entries {
@@ -114,7 +115,7 @@
 	return newer
 }
 
-// changed returns the entries that say something else than the kept ones.
+// changed returns the entries whose content differs from the cached ones.
 func (f *Feed) changed(entries []Entry) []Entry {
 	var changes []Entry
 	for _, e := range entries {
@@ -125,8 +126,7 @@
 	return changes
 }
 
-// missing returns the removals of the entries that are kept and not among the
-// given ones.
+// missing returns removals for the cached entries that are not among the given ones.
 func (f *Feed) missing(entries []Entry) []Entry {
 	seen := make(map[string]bool, len(entries))
 	for _, e := range entries {
@@ -141,11 +141,11 @@
 	return removals
 }
 
-// Add takes what changed up to the position. An entry that is known already is
-// learned anew: a listing may have held it before its revision said so, and a
-// follower that has the listing's revision from elsewhere does not know it. Changes of
-// another epoch than that of the latest listing follow nothing that is known here, and
-// are not taken.
+// Add applies the changes up to the position. An entry that is already known is recorded
+// again at the new revision: a listing may have contained it before its revision was
+// reached, and a follower that received the listing's revision from another gateway lacks
+// the entry. Changes of another epoch than that of the latest listing are ignored,
+// because they do not continue the state of this feed.
 func (f *Feed) Add(p Position, entries []Entry) {
 	if p.Epoch != f.position.Epoch {
 		return
@@ -157,31 +157,31 @@
 			continue
 		}
 		if ok && held.Removed {
-			f.removed--
+			f.tombstones--
 		}
 		if e.Removed {
-			f.removed++
+			f.tombstones++
 		}
-		f.entries[e.Key] = kept{Entry: e, learned: f.position.Revision}
+		f.entries[e.Key] = record{Entry: e, learnedRevision: f.position.Revision}
 	}
-	if f.removed > removedMost {
-		f.forget()
+	if f.tombstones > maxTombstones {
+		f.compact()
 	}
 }
 
-// forget drops the removed entries.
-func (f *Feed) forget() {
+// compact drops all tombstones.
+func (f *Feed) compact() {
 	for key, held := range f.entries {
 		if held.Removed {
 			delete(f.entries, key)
 		}
 	}
-	f.removed = 0
-	f.floor = f.position.Revision
+	f.tombstones = 0
+	f.compactedRevision = f.position.Revision
 }
 
-// Since returns what was learned after the position, in order of the keys; false
-// if nothing is known yet. Who knows a later epoch learns nothing here.
+// Since returns the entries received after the position, sorted by key; false if the feed
+// is empty. A follower in a later epoch gets no entries.
 func (f *Feed) Since(p Position) (Batch, bool) {
 	if !f.position.Known() {
 		return Batch{}, false
@@ -190,9 +190,9 @@
 	if p.Epoch > f.position.Epoch {
 		return b, true
 	}
-	b.Whole = p.Epoch < f.position.Epoch || p.Revision < f.floor
+	b.Whole = p.Epoch < f.position.Epoch || p.Revision < f.compactedRevision
 	for _, held := range f.entries {
-		news := held.learned > p.Revision
+		news := held.learnedRevision > p.Revision
 		if b.Whole {
 			news = !held.Removed
 		}
--- a/internal/core/feed/feed_test.go
+++ b/internal/core/feed/feed_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// apply plays a batch on a copy, as a follower does.
+// apply applies a batch to a copy, as a follower does.
 func apply(held map[string]string, b Batch) {
 	if b.Whole {
 		clear(held)
@@ -23,28 +23,28 @@
 	}
 }
 
-// at is a position in the store.
+// at returns a position in the store.
 func at(epoch, revision int64) Position { return Position{Epoch: epoch, Revision: revision} }
 
-// A follower that asks now and then holds what the store holds, whatever the
-// reader did in between, and also if the store came back from a copy.
+// A follower that polls now and then has the same entries as the store, whatever the
+// reader did in between, and also if the store was restored from a copy.
 func TestFollowersAgree(t *testing.T) {
 	tests := []struct {
 		name string
-		// steps are the changes, and one in restoreEvery of them the first one after the
-		// store came back from a copy; 0 for none.
+		// steps is the number of changes. On average one in restoreEvery of them is the
+		// first one after a restore of the store; 0 means none.
 		steps, restoreEvery int
 	}{
-		{"one history", 4000, 0},
-		{"a store that comes back from copies", 6000, 300},
+		{"without restores", 4000, 0},
+		{"a store that is restored from copies", 6000, 300},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) { followersAgree(t, tt.steps, tt.restoreEvery) })
 	}
 }
 
-// copied is a copy of a store, and its revision.
-type copied struct {
+// storeCopy is a copy of a store with its revision.
+type storeCopy struct {
 	entries  map[string]string
 	revision int64
 }
@@ -63,7 +63,7 @@
 		followers[i] = make(map[string]string)
 	}
 	p := at(1, 0)
-	backup := copied{entries: make(map[string]string)}
+	backup := storeCopy{entries: make(map[string]string)}
 	for n := range steps {
 		restored := restoreEvery > 0 && rng.IntN(restoreEvery) == 0 && n > 0
 		if restored {
@@ -71,7 +71,7 @@
 			p = at(p.Epoch+1, backup.revision)
 		}
 		if restoreEvery > 0 && rng.IntN(restoreEvery/3) == 0 {
-			backup = copied{maps.Clone(store), p.Revision}
+			backup = storeCopy{maps.Clone(store), p.Revision}
 		}
 		p.Revision++
 		key := fmt.Sprint("k", rng.IntN(2000))
@@ -99,10 +99,10 @@
 		positions[i] = b.Position
 		is.Equal(followers[i], store)
 	}
-	is.True(f.removed <= removedMost)
+	is.True(f.tombstones <= maxTombstones)
 }
 
-// A listing that is older than what is known changes nothing.
+// A listing that is older than the feed changes nothing.
 func TestOldListing(t *testing.T) {
 	is := is.New(t)
 	f := New()
@@ -116,8 +116,9 @@
 	is.True(!b.Whole)
 }
 
-// A listing has the lowest revision of its pages, and may hold an entry that is
-// newer. Who knows that revision from another gateway still has to learn it.
+// A listing has the lowest revision of its pages and may contain a newer entry. A
+// follower that received the listing's revision from another gateway must still receive
+// that entry.
 func TestEntryAheadOfItsListing(t *testing.T) {
 	is := is.New(t)
 	f := New()
@@ -129,8 +130,8 @@
 	is.Equal(b.Position, at(1, 101))
 }
 
-// What was learned before the store came back from a copy is forgotten, and a follower of
-// that time gets everything, also if its revision is higher.
+// Entries from before a restore of the store are dropped, and a follower of the earlier
+// epoch gets a full snapshot, even if its revision is higher.
 func TestNextEpoch(t *testing.T) {
 	is := is.New(t)
 	f := New()
@@ -143,10 +144,10 @@
 		whole bool
 		keys  []string
 	}{
-		{"of the epoch before", at(1, 20), true, []string{"kept", "new"}},
+		{"of the previous epoch", at(1, 20), true, []string{"kept", "new"}},
 		{"of the listing", at(2, 10), false, []string{"new"}},
-		{"of now", at(2, 11), false, nil},
-		{"of an epoch to come", at(3, 1), false, nil},
+		{"of the current position", at(2, 11), false, nil},
+		{"of a later epoch", at(3, 1), false, nil},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -166,11 +167,11 @@
 	f.Add(at(3, 12), []Entry{{Key: "early"}})
 	f.Replace(at(1, 30), nil)
 	b, _ := f.Since(Position{})
-	is.Equal(len(b.Entries), 2) // changes of other epochs are not taken
+	is.Equal(len(b.Entries), 2) // changes of other epochs are ignored
 }
 
-// A value that names its version never gives way to one of a lower version: not in the same
-// epoch, and not when a copy of the store holds it, or none.
+// A value that contains its version is never replaced by one with a lower version: not in
+// the same epoch, and not if a restored copy of the store holds a lower one or no value.
 func TestVersionsOnlyRise(t *testing.T) {
 	version := func(v int64) []Entry { return []Entry{{Key: "a", Value: []byte{byte(v)}, Version: v}} }
 	tests := []struct {
@@ -181,7 +182,7 @@
 		{"a higher one", func(f *Feed) { f.Add(at(1, 8), version(6)) }, 6},
 		{"a lower one", func(f *Feed) { f.Add(at(1, 8), version(4)) }, 5},
 		{"a lower one in a listing", func(f *Feed) { f.Replace(at(1, 8), version(4)) }, 5},
-		{"none that can be read", func(f *Feed) { f.Add(at(1, 8), []Entry{{Key: "a"}}) }, 0},
+		{"a value without a version", func(f *Feed) { f.Add(at(1, 8), []Entry{{Key: "a"}}) }, 0},
 		{"a copy with a lower one", func(f *Feed) { f.Replace(at(2, 3), version(4)) }, 5},
 		{"a copy with the same one", func(f *Feed) { f.Replace(at(2, 3), version(5)) }, 5},
 		{"a copy with a higher one", func(f *Feed) { f.Replace(at(2, 3), version(6)) }, 6},
--- a/internal/core/feed/position.go
+++ b/internal/core/feed/position.go
@@ -1,17 +1,17 @@
 package feed
 
-// Position is how far somebody knows the store. A store that comes back from a copy of
-// itself has lost its latest revisions and gives them out again: that begins a new epoch,
-// and revisions of different epochs do not compare.
+// Position is a position in the history of the store. A store that is restored from a
+// copy has lost its latest revisions and assigns them again. That begins a new epoch, and
+// revisions of different epochs are not comparable.
 type Position struct {
 	Epoch    int64
 	Revision int64
 }
 
-// Known reports whether anything is known of the store.
+// Known reports whether the position is set.
 func (p Position) Known() bool { return p.Revision != 0 }
 
-// Before reports whether the other position is further.
+// Before reports whether the other position is later.
 func (p Position) Before(other Position) bool {
 	if p.Epoch != other.Epoch {
 		return p.Epoch < other.Epoch
@@ -19,7 +19,7 @@
 	return p.Revision < other.Revision
 }
 
-// Furthest returns the further one of both.
+// Furthest returns the later of both positions.
 func (p Position) Furthest(other Position) Position {
 	if p.Before(other) {
 		return other
--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -1,7 +1,7 @@
-// Package member holds which processes of the system there are.
+// Package member holds the hosts of the system: its entries and agents.
 //
-// The platform's lists lag. Each availability zone has a list of its own with
-// a rising version; a process keeps the highest version it has seen of each.
+// The platform's lists are eventually consistent. Each availability zone has a list of
+// its own with a rising version; a process keeps the highest version it has seen of each.
 // A Set is immutable, and With returns the next one.
 //
 // # Usage
@@ -18,7 +18,7 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// Role tells entries from agents.
+// Role distinguishes entries from agents.
 type Role int
 
 // Roles of a process.
@@ -37,14 +37,14 @@
 	Leaving bool
 }
 
-// zone is the list of one availability zone.
+// zone holds the list of one availability zone.
 type zone struct {
 	version uint64
 	hosts   []Host
 	raw     *gladegaugev1.HostList
 }
 
-// Set is the hosts of all availability zones. It is immutable.
+// Set holds the hosts of all availability zones. It is immutable.
 type Set struct {
 	zones   map[string]zone
 	byID    map[string]Host
@@ -57,8 +57,8 @@
 	return &Set{}
 }
 
-// With returns a set with the list taken in, and whether it was newer than
-// what the set held. A list that is older or equal changes nothing.
+// With returns a set that includes the list, and whether the list was newer than the one
+// that the set held. An older or equal list changes nothing.
 func (s *Set) With(list *gladegaugev1.HostList) (*Set, bool) {
 	if held, ok := s.zones[list.GetZone()]; ok && held.version >= list.GetVersion() {
 		return s, false
@@ -108,7 +108,7 @@
 	}
 }
 
-// Zones returns the names of the availability zones in order.
+// Zones returns the names of the availability zones, sorted.
 func (s *Set) Zones() []string {
 	return slices.Sorted(maps.Keys(s.zones))
 }
@@ -130,7 +130,7 @@
 	return h, ok
 }
 
-// Agents returns the agents of a pool, leaving ones too.
+// Agents returns the agents of a pool, including leaving ones.
 func (s *Set) Agents(pool string) []Host {
 	return s.pools[pool]
 }
@@ -138,7 +138,7 @@
 // Entries returns the number of entries that are not leaving.
 func (s *Set) Entries() int { return s.entries }
 
-// All returns all hosts in order of zone and identity.
+// All returns all hosts, sorted by zone and identity.
 func (s *Set) All() []Host {
 	var all []Host
 	for _, name := range s.Zones() {
--- a/internal/core/member/member_test.go
+++ b/internal/core/member/member_test.go
@@ -36,7 +36,7 @@
 			next, changed := first.With(tt.then)
 			is.Equal(changed, tt.changed)
 			is.Equal(len(next.Agents("p")), tt.agents)
-			is.Equal(len(first.Agents("p")), 1) // A set never changes.
+			is.Equal(len(first.Agents("p")), 1) // A set is immutable.
 		})
 	}
 }
--- a/internal/core/revision/revision.go
+++ b/internal/core/revision/revision.go
@@ -1,8 +1,8 @@
 // Package revision decides which published configuration is in force.
 //
-// Revisions only rise. A document is taken whole or not at all, and a bad one
-// changes nothing. Two documents with one revision number break an invariant
-// of the operators' pipeline: the first stays in force, and it is counted.
+// Revisions only rise. A document is applied as a whole or not at all, and an invalid one
+// changes nothing. Two documents with the same revision number violate an invariant of
+// the operators' pipeline: the first stays in force, and the conflict is counted.
 //
 // # Usage
 //
@@ -17,22 +17,22 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// Verdict is what becomes of a document.
+// Verdict is the result of comparing or applying a document.
 type Verdict int
 
 // Verdicts on a document.
 const (
 	// Older means that the revision in force is higher.
 	Older Verdict = iota + 1
-	// Same means that the document is in force.
+	// Same means that the document is already in force.
 	Same
 	// Conflict means that another document has the same revision.
 	Conflict
 	// Newer means that the document should be fetched.
 	Newer
-	// Accepted means that the document is in force now.
+	// Accepted means that the document is now in force.
 	Accepted
-	// Rejected means that the document is faulty.
+	// Rejected means that the document has faults.
 	Rejected
 )
 
@@ -52,16 +52,16 @@
 // Config returns the configuration in force, or nil.
 func (h *Holder) Config() *config.Config { return h.cfg }
 
-// Conflicts returns the number of conflicts seen.
+// Conflicts returns the number of revision conflicts seen.
 func (h *Holder) Conflicts() int { return h.conflicts }
 
-// Shard returns the value of a shard in force.
+// Shard returns the value of a shard of the configuration in force.
 func (h *Holder) Shard(name string) ([]byte, bool) {
 	value, ok := h.shards[name]
 	return value, ok
 }
 
-// Compare judges a version that another process names.
+// Compare compares a version that another process reports with the one in force.
 func (h *Holder) Compare(revision uint64, digest string) Verdict {
 	switch {
 	case h.cfg == nil && revision > 0:
@@ -78,7 +78,7 @@
 	}
 }
 
-// Consider judges a manifest before its shards are fetched.
+// Consider checks a manifest before its shards are fetched.
 func (h *Holder) Consider(m *gladegaugev1.Manifest) Verdict {
 	digest := config.ManifestDigest(m)
 	if h.rejected[digest] {
@@ -92,7 +92,7 @@
 	return config.Missing(h.cfg, m)
 }
 
-// Apply takes a document into force, if it is newer and without faults.
+// Apply puts a document into force if it is newer and has no faults.
 func (h *Holder) Apply(doc config.Document) (Verdict, config.Faults) {
 	if v := h.Consider(doc.Manifest); v != Newer {
 		return v, nil
@@ -107,8 +107,9 @@
 	return Accepted, nil
 }
 
-// reject remembers a faulty document, so that it is not fetched again. One
-// with shards that did not match their digests may still arrive whole.
+// reject remembers an invalid document so that it is not fetched again. A document with
+// shards that did not match their digests is not remembered, because it may still arrive
+// intact.
 func (h *Holder) reject(m *gladegaugev1.Manifest, faults config.Faults) {
 	for _, fault := range faults {
 		if fault.Transient {
--- a/internal/core/roster/evacuation.go
+++ b/internal/core/roster/evacuation.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// listedZone is the end of an evacuation that is listed: there is none.
-var listedZone time.Time
+// noExpiry marks an evacuation that is in the store: it does not expire by itself.
+var noExpiry time.Time
 
-// Evacuate notes that the availability zone is emptied.
-func (r *Roster) Evacuate(zone string) { r.evacuated[zone] = listedZone }
+// Evacuate records that the availability zone is evacuated.
+func (r *Roster) Evacuate(zone string) { r.evacuated[zone] = noExpiry }
 
-// TakeBack notes that the evacuation of the availability zone has ended.
+// TakeBack records that the evacuation of the availability zone has ended.
 func (r *Roster) TakeBack(zone string) { delete(r.evacuated, zone) }
 
-// ReplaceEvacuated takes all availability zones that are emptied. Those are kept that a
-// copy of the list lacked a moment ago.
+// ReplaceEvacuated replaces the set of evacuated availability zones. Zones that a
+// restored copy of the store lacked are retained until they expire.
 func (r *Roster) ReplaceEvacuated(zones []string) {
-	maps.DeleteFunc(r.evacuated, func(_ string, until time.Time) bool { return until.Equal(listedZone) })
+	maps.DeleteFunc(r.evacuated, func(_ string, until time.Time) bool { return until.Equal(noExpiry) })
 	for _, zone := range zones {
 		r.Evacuate(zone)
 	}
 }
 
-// restoreEvacuated takes the availability zones that a copy of the list says are emptied.
-// Others that are emptied stay so until the given time.
+// restoreEvacuated replaces the set of evacuated availability zones by that of a restored
+// copy of the store. Other zones stay evacuated until the given time.
 func (r *Roster) restoreEvacuated(until time.Time, zones []string) {
 	for zone := range r.evacuated {
 		r.evacuated[zone] = until
@@ -33,12 +33,12 @@
 	r.ReplaceEvacuated(zones)
 }
 
-// endEvacuations ends those whose time is over.
-func (r *Roster) endEvacuations(now time.Time) {
+// expireEvacuations removes the evacuations that have expired.
+func (r *Roster) expireEvacuations(now time.Time) {
 	maps.DeleteFunc(r.evacuated, func(_ string, until time.Time) bool {
-		return !until.Equal(listedZone) && !now.Before(until)
+		return !until.Equal(noExpiry) && !now.Before(until)
 	})
 }
 
-// Evacuated returns the availability zones that are emptied, in order.
+// Evacuated returns the evacuated availability zones, sorted by name.
 func (r *Roster) Evacuated() []string { return slices.Sorted(maps.Keys(r.evacuated)) }
--- a/internal/core/roster/restore.go
+++ b/internal/core/roster/restore.go
@@ -6,39 +6,41 @@
 	"github.com/gladegauge/gladegauge/internal/core/balance"
 )
 
-// goneFor is how long an upstream that went is remembered, far longer than a copy of the
-// list is old.
-const goneFor = time.Minute
+// tombstoneTTL is how long a removed upstream is remembered. It is far longer than the
+// age of a copy of the store.
+const tombstoneTTL = time.Minute
 
-// Return is the return of the list's keeper from a copy of itself: what was written after
-// the copy was made is lost, until it is written again.
+// Return describes a restore of the store from a copy: writes after the copy was made are
+// lost until they are repeated.
 type Return struct {
-	// After is the latest moment at which the keeper was not yet back.
+	// After is the latest moment at which the store was known to be unavailable.
 	After time.Time
-	// Lapse is the time within which an entry goes that its upstream does not renew.
+	// Lapse is the time to live of an entry that its upstream does not renew.
 	Lapse time.Duration
 }
 
-// departed is an upstream that went.
-type departed struct {
+// removal is an upstream that was removed.
+type removal struct {
 	balance.Instance
 	at time.Time
 }
 
-// doubted is an upstream that went and is listed again only by a copy. It is believed if its
-// entry outlasts the time in which it would lapse, or is written again.
-type doubted struct {
+// unconfirmed is an upstream that was removed and is listed again only by a restored copy
+// of the store. It is confirmed if its entry outlives its time to live, or is written
+// again.
+type unconfirmed struct {
 	balance.Instance
 	until time.Time
 }
 
-// Restore takes the whole list of a keeper that came back from a copy. What is known of an
-// upstream goes before what the copy says of the same start or an earlier one: it still
-// leaves, it is still gone. What the copy lacks is kept for a moment, an evacuation too.
-func (r *Roster) Restore(now time.Time, back Return, list []balance.Instance, zones []string) {
-	r.recoveredAt = back.After
-	r.lapseSeen = true
-	r.forgetOrder()
+// Restore replaces the list by that of a store that was restored from a copy. Local
+// knowledge of an upstream takes precedence over the copy's entry for the same or an
+// earlier start: a leaving upstream is still leaving, a removed one still removed.
+// Entries and evacuations that the copy lacks are retained for a short time.
+func (r *Roster) Restore(now time.Time, restoration Return, list []balance.Instance, zones []string) {
+	r.recoveredAt = restoration.After
+	r.expirySeen = true
+	r.resetCreationOrder()
 	current := make([]balance.Instance, 0, len(list))
 	for _, in := range list {
 		held, listed := r.listed[in.ID]
@@ -46,50 +48,50 @@
 			continue
 		}
 		in.Leaving = in.Leaving || listed && held.Leaving && !held.RestartedAs(in)
-		if gone, ok := r.gone[in.ID]; ok && !startedBefore(gone.Instance, in) {
-			r.doubted[in.ID] = doubted{in, now.Add(back.Lapse)}
+		if tombstone, ok := r.tombstone[in.ID]; ok && !startedBefore(tombstone.Instance, in) {
+			r.unconfirmed[in.ID] = unconfirmed{in, now.Add(restoration.Lapse)}
 		}
 		current = append(current, in)
 	}
 	r.Replace(now, current)
-	r.restoreEvacuated(back.After.Add(recovering), zones)
+	r.restoreEvacuated(restoration.After.Add(recoveryWindow), zones)
 }
 
-// startedBefore reports whether both tell when they began, and the first one did earlier.
+// startedBefore reports whether both report their start time, and in started earlier.
 func startedBefore(in, other balance.Instance) bool {
 	return in.Born != 0 && other.Born != 0 && in.Born < other.Born
 }
 
-// forgetOrder forgets in which order entries were made: those of the copy and of what comes
-// after it do not compare with those that were lost.
-func (r *Roster) forgetOrder() {
+// resetCreationOrder clears the creation revisions of all entries. Revisions of the copy,
+// and later ones, are not comparable with those that were lost.
+func (r *Roster) resetCreationOrder() {
 	for id, in := range r.listed {
 		in.Created = 0
 		r.listed[id] = in
 	}
 }
 
-// depart remembers an upstream that is taken off the list.
-func (r *Roster) depart(now time.Time, id string) {
-	r.gone[id] = departed{r.listed[id], now}
+// removeListed removes an upstream from the list and records the removal.
+func (r *Roster) removeListed(now time.Time, id string) {
+	r.tombstone[id] = removal{r.listed[id], now}
 	delete(r.listed, id)
-	delete(r.lapsed, id)
+	delete(r.expired, id)
 }
 
-// forgetGone forgets upstreams that went long ago.
-func (r *Roster) forgetGone(now time.Time) {
-	for id, gone := range r.gone {
-		if now.Sub(gone.at) > goneFor {
-			delete(r.gone, id)
+// purgeTombstones forgets removals older than tombstoneTTL.
+func (r *Roster) purgeTombstones(now time.Time) {
+	for id, tombstone := range r.tombstone {
+		if now.Sub(tombstone.at) > tombstoneTTL {
+			delete(r.tombstone, id)
 		}
 	}
 }
 
-// believe puts upstreams on the list whose entries outlasted the doubt.
-func (r *Roster) believe(now time.Time) {
-	for id, d := range r.doubted {
+// confirm lists the unconfirmed upstreams whose entries outlived their time to live.
+func (r *Roster) confirm(now time.Time) {
+	for id, d := range r.unconfirmed {
 		if !now.Before(d.until) {
-			delete(r.doubted, id)
+			delete(r.unconfirmed, id)
 			r.put(d.Instance)
 		}
 	}
--- a/internal/core/roster/restore_test.go
+++ b/internal/core/roster/restore_test.go
@@ -9,10 +9,10 @@
 	"github.com/gladegauge/gladegauge/internal/core/balance"
 )
 
-// What is known of upstreams goes before what a copy of the list says, until it is written
-// again.
+// Local knowledge of upstreams takes precedence over a restored copy of the store, until
+// they are written again.
 func TestRestore(t *testing.T) {
-	const lapse = 4800
+	const ttl = 4800
 	t0 := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 	listed := func(ids string) []balance.Instance {
@@ -22,75 +22,76 @@
 		}
 		return list
 	}
-	// restore lets a copy come back at 0 that was not there 100 ms before.
+	// restore restores at 0 from a copy; the store was last known to be unavailable at
+	// -100 ms.
 	restore := func(r *Roster, list []balance.Instance) {
-		r.Restore(at(0), Return{After: at(-100), Lapse: lapse * time.Millisecond}, list, nil)
+		r.Restore(at(0), Return{After: at(-100), Lapse: ttl * time.Millisecond}, list, nil)
 	}
 	tests := []struct {
 		name string
 		do   func(r *Roster)
 		at   int
 		want string
-		// leaving are those that leave.
+		// leaving holds the upstreams that are leaving.
 		leaving string
 	}{
-		{"what the copy has is there", func(r *Roster) { restore(r, listed("ab")) }, 0, "ab", ""},
-		{"what the copy lacks is kept", func(r *Roster) { restore(r, listed("a")) }, 2000, "ab", ""},
-		{"and is gone if it is not written again", func(r *Roster) { restore(r, listed("a")) }, 2100, "a", ""},
-		{"and stays if it is", func(r *Roster) {
+		{"an upstream in the copy is listed", func(r *Roster) { restore(r, listed("ab")) }, 0, "ab", ""},
+		{"an upstream that the copy lacks is retained", func(r *Roster) { restore(r, listed("a")) }, 2000, "ab", ""},
+		{"and removed if it is not written again", func(r *Roster) { restore(r, listed("a")) }, 2100, "a", ""},
+		{"and stays if it is written again", func(r *Roster) {
 			restore(r, listed("a"))
 			r.Change(at(900), listed("b"), nil)
 		}, 9000, "ab", ""},
-		{"what leaves still leaves", func(r *Roster) {
+		{"a leaving upstream is still leaving", func(r *Roster) {
 			r.Change(at(-900), []balance.Instance{{ID: "a", Born: 5, Leaving: true}}, nil)
 			restore(r, listed("ab"))
 		}, 9000, "ab", "a"},
-		{"until it is written otherwise", func(r *Roster) {
+		{"until it is written as not leaving", func(r *Roster) {
 			r.Change(at(-900), []balance.Instance{{ID: "a", Born: 5, Leaving: true}}, nil)
 			restore(r, listed("ab"))
 			r.Change(at(900), listed("a"), nil)
 		}, 9000, "ab", ""},
-		{"a later start of it does not", func(r *Roster) {
+		{"a later start of it is not leaving", func(r *Roster) {
 			r.Change(at(-900), []balance.Instance{{ID: "a", Born: 5, Leaving: true}}, nil)
 			restore(r, []balance.Instance{{ID: "a", Born: 6}, {ID: "b", Born: 5}})
 		}, 0, "ab", ""},
-		{"what leaves and is not in the copy is gone", func(r *Roster) {
+		{"a leaving upstream that the copy lacks is removed", func(r *Roster) {
 			r.Change(at(-900), []balance.Instance{{ID: "a", Born: 5, Leaving: true}}, nil)
 			restore(r, listed("b"))
 		}, 0, "b", ""},
-		{"what is gone stays so", func(r *Roster) {
+		{"a removed upstream stays removed", func(r *Roster) {
 			r.Change(at(-900), nil, []string{"a"})
 			restore(r, listed("ab"))
-		}, lapse - 1, "b", ""},
-		{"also if the list is read once more", func(r *Roster) {
+		}, ttl - 1, "b", ""},
+		{"also if the list is read again", func(r *Roster) {
 			r.Change(at(-900), nil, []string{"a"})
 			restore(r, listed("ab"))
 			r.Replace(at(10), listed("ab"))
-		}, lapse - 1, "b", ""},
-		{"until its entry has outlasted what it would without it", func(r *Roster) {
+		}, ttl - 1, "b", ""},
+		{"until its entry has outlived the time to live", func(r *Roster) {
 			r.Change(at(-900), nil, []string{"a"})
 			restore(r, listed("ab"))
-		}, lapse, "ab", ""},
-		{"or is written again", func(r *Roster) {
+		}, ttl, "ab", ""},
+		{"or until it is written again", func(r *Roster) {
 			r.Change(at(-900), nil, []string{"a"})
 			restore(r, listed("ab"))
 			r.Change(at(900), listed("a"), nil)
 		}, 900, "ab", ""},
-		{"if its entry goes it is not back", func(r *Roster) {
+		{"an entry that is removed again is not listed", func(r *Roster) {
 			r.Change(at(-900), nil, []string{"a"})
 			restore(r, listed("ab"))
 			r.Change(at(900), nil, []string{"a"})
 		}, 9000, "b", ""},
-		{"a later start of what is gone is there", func(r *Roster) {
+		{"a later start of a removed upstream is listed", func(r *Roster) {
 			r.Change(at(-900), nil, []string{"a"})
 			restore(r, []balance.Instance{{ID: "a", Born: 6}, {ID: "b", Born: 5}})
 		}, 0, "ab", ""},
-		{"what went long ago is forgotten", func(r *Roster) {
+		{"an old removal is forgotten", func(r *Roster) {
 			r.Change(at(-61_000), nil, []string{"a"})
 			r.Change(at(-900), listed("b"), nil)
 			restore(r, listed("ab"))
 		}, 0, "ab", ""},
-		{"an earlier start is none", func(r *Roster) {
+		{"an earlier start in the copy is ignored", func(r *Roster) {
 			r.Change(at(-900), []balance.Instance{{ID: "a", Born: 7, Leaving: true}}, nil)
 			restore(r, listed("ab"))
 		}, 0, "b", ""},
@@ -114,7 +115,8 @@
 	}
 }
 
-// The list changes by itself when something that was kept in a restore ends.
+// The list changes without a message from the store when something that was retained in a
+// restore expires.
 func TestEndsAfterARestore(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -141,8 +143,8 @@
 	is.True(!ok)
 }
 
-// An availability zone that is emptied stays so if a copy of the list lacks it, for a moment
-// or as soon as it is written again.
+// An evacuation that a restored copy of the store lacks stays in force for a short time,
+// or for good as soon as it is written again.
 func TestEvacuationInARestore(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
@@ -152,11 +154,11 @@
 		at    int
 		want  int
 	}{
-		{"a moment later", func(*Roster) {}, 2000, 1},
-		{"listed once more without it", func(r *Roster) { r.ReplaceEvacuated(nil) }, 2000, 1},
+		{"shortly after the restore", func(*Roster) {}, 2000, 1},
+		{"listed again without it", func(r *Roster) { r.ReplaceEvacuated(nil) }, 2000, 1},
 		{"not written again", func(*Roster) {}, 2200, 0},
 		{"written again", func(r *Roster) { r.Evacuate("z") }, 9000, 1},
-		{"taken back", func(r *Roster) { r.TakeBack("z") }, 10, 0},
+		{"evacuation ended", func(r *Roster) { r.TakeBack("z") }, 10, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/core/roster/roster.go
+++ b/internal/core/roster/roster.go
@@ -1,25 +1,25 @@
-// Package roster holds which upstreams there are, by what the platform said.
+// Package roster holds the list of upstreams as the platform's store reports it.
 //
-// An upstream that was taken off the list is gone at once. After an outage of
-// the list's keeper that does not hold: entries lapse because nobody could
-// renew them, and come back when the upstream reaches the keeper again. Until
-// then they are kept. A gateway that was cut off by itself finds the list as it
-// was, but for what really came and went; there nothing lapsed.
+// An upstream that is removed from the list is dropped at once. That rule does not hold
+// after an outage of the store: entries expire because their upstreams could not renew
+// them, and are created again when the upstreams reach the store. Until then they are
+// retained. A gateway that alone lost its connection to the store finds the list
+// unchanged except for real additions and removals; in that case no entry has expired.
 //
-// Nothing new may be sent to the upstreams of an availability zone that is evacuated,
-// until it is taken back. Only the list's keeper ends an evacuation: while it is away,
-// what was evacuated stays so.
+// No new requests may be sent to the upstreams of an evacuated availability zone until
+// the evacuation ends. Only the store ends an evacuation: during an outage evacuated
+// zones stay evacuated.
 //
-// A keeper that comes back from a copy of itself says what was so some seconds ago. What
-// is known goes before that, until it is written again.
+// A store that was restored from a copy returns a state some seconds old. Local knowledge
+// takes precedence over it until it is written again.
 //
 // # Usage
 //
 //	r := roster.New()
 //	r.Replace(now, listed)
 //	r.Change(now, changed, removed)
-//	r.Recovered(lastFailure) // the keeper answers again after an outage
-//	r.Restore(now, roster.Return{After: lastFailure, Lapse: lapse}, listed, zones) // from a copy
+//	r.Recovered(lastFailure) // the store answers again after an outage
+//	r.Restore(now, roster.Return{After: lastFailure, Lapse: ttl}, listed, zones) // from a copy
 //	r.Evacuate("zone-a")
 //	instances := r.Current(now)
 package roster
@@ -32,63 +32,63 @@
 	"github.com/gladegauge/gladegauge/internal/core/balance"
 )
 
-// recovering is how long after an outage of the keeper a missing entry is kept.
-// From the users' letter: an upstream that lives is back within about two
-// seconds of the return. It is counted from the return, so that an upstream
-// that leaves just then is not kept beyond the time in which it must be left.
-const recovering = 2200 * time.Millisecond
+// recoveryWindow is how long after an outage of the store a missing entry is retained.
+// Users require that an upstream that is alive is back within about two seconds of the
+// store's return. The window starts at the return, so that an upstream that leaves just
+// then is not retained beyond the time in which requests to it must stop.
+const recoveryWindow = 2200 * time.Millisecond
 
-// sameOutage is the time within which the end of an outage, as two gateways saw
-// it, is the end of the same one. It is longer than two failed calls.
-const sameOutage = 2 * time.Second
+// outageMergeWindow is the interval within which the ends of an outage seen by two
+// gateways count as the same one. It is longer than two failed calls.
+const outageMergeWindow = 2 * time.Second
 
-// lapsedPart: entries lapsed if more than one in so many is missing, beyond
-// those that new upstreams may have replaced. It is far more than a planned
-// replacement takes away at once, and far less than an outage.
-const lapsedPart = 4
+// expiredDivisor sets when entries must have expired: if more than one in that many is
+// missing, beyond those that new upstreams may have replaced. This is far more than a
+// planned replacement removes at once, and far less than an outage does.
+const expiredDivisor = 4
 
 // Roster is the list of upstreams. It is not safe for concurrent use.
 type Roster struct {
 	listed      map[string]balance.Instance
-	lapsed      map[string]time.Time
+	expired     map[string]time.Time
 	recoveredAt time.Time
-	// lapseSeen is true once something shows that entries lapsed in the latest
+	// expirySeen is true once a change indicates that entries expired in the latest
 	// outage.
-	lapseSeen bool
-	// evacuated are the availability zones that are emptied, with the end of it for one
-	// that a copy of the list lacks.
+	expirySeen bool
+	// evacuated holds the evacuated availability zones, with the expiry of those that a
+	// restored copy of the store lacks.
 	evacuated map[string]time.Time
-	// gone are the upstreams that went lately, doubted those among them that only a copy
-	// of the list names.
-	gone    map[string]departed
-	doubted map[string]doubted
+	// tombstone holds the recently removed upstreams, unconfirmed those among them that
+	// only a restored copy of the store lists.
+	tombstone   map[string]removal
+	unconfirmed map[string]unconfirmed
 }
 
 // New returns an empty roster.
 func New() *Roster {
 	return &Roster{
-		listed:    make(map[string]balance.Instance),
-		lapsed:    make(map[string]time.Time),
-		evacuated: make(map[string]time.Time),
-		gone:      make(map[string]departed),
-		doubted:   make(map[string]doubted),
+		listed:      make(map[string]balance.Instance),
+		expired:     make(map[string]time.Time),
+		evacuated:   make(map[string]time.Time),
+		tombstone:   make(map[string]removal),
+		unconfirmed: make(map[string]unconfirmed),
 	}
 }
 
-// Recovered notes that the keeper of the list answers again after an outage. It
-// returned at the given time or later.
+// Recovered records that the store answers again after an outage. It returned at the
+// given time or later.
 func (r *Roster) Recovered(at time.Time) {
-	if !at.After(r.recoveredAt.Add(sameOutage)) {
+	if !at.After(r.recoveredAt.Add(outageMergeWindow)) {
 		return
 	}
 	r.recoveredAt = at
-	r.lapseSeen = false
+	r.expirySeen = false
 }
 
 // RecoveredAt returns the end of the latest outage; zero if there was none.
 func (r *Roster) RecoveredAt() time.Time { return r.recoveredAt }
 
-// Replace takes a whole list.
+// Replace replaces the whole list.
 func (r *Roster) Replace(now time.Time, list []balance.Instance) {
 	seen := make(map[string]bool, len(list))
 	for _, in := range list {
@@ -100,29 +100,29 @@
 			removed = append(removed, id)
 		}
 	}
-	for id := range r.doubted {
+	for id := range r.unconfirmed {
 		if !seen[id] {
-			delete(r.doubted, id)
+			delete(r.unconfirmed, id)
 		}
 	}
-	r.Change(now, r.withoutDoubted(list), removed)
+	r.Change(now, r.withoutUnconfirmed(list), removed)
 }
 
-// withoutDoubted returns the list without the upstreams that are doubted.
-func (r *Roster) withoutDoubted(list []balance.Instance) []balance.Instance {
-	if len(r.doubted) == 0 {
+// withoutUnconfirmed returns the list without the unconfirmed upstreams.
+func (r *Roster) withoutUnconfirmed(list []balance.Instance) []balance.Instance {
+	if len(r.unconfirmed) == 0 {
 		return list
 	}
 	return slices.DeleteFunc(slices.Clone(list), func(in balance.Instance) bool {
-		d, ok := r.doubted[in.ID]
+		d, ok := r.unconfirmed[in.ID]
 		return ok && !startedBefore(d.Instance, in)
 	})
 }
 
-// Change takes upstreams that came, changed or went.
+// Change applies added, changed and removed upstreams.
 func (r *Roster) Change(now time.Time, changed []balance.Instance, removed []string) {
-	r.forgetGone(now)
-	r.lapseSeen = r.lapseSeen || r.showsLapse(changed, removed)
+	r.purgeTombstones(now)
+	r.expirySeen = r.expirySeen || r.indicatesExpiry(changed, removed)
 	for _, in := range changed {
 		r.put(in)
 	}
@@ -131,16 +131,16 @@
 	}
 }
 
-// showsLapse reports whether entries must have lapsed: one came back, or too
-// many are missing for a replacement.
-func (r *Roster) showsLapse(changed []balance.Instance, removed []string) bool {
+// indicatesExpiry reports whether entries must have expired: one was created again, or
+// too many are missing for a replacement.
+func (r *Roster) indicatesExpiry(changed []balance.Instance, removed []string) bool {
 	came, missing := 0, 0
 	for _, in := range changed {
 		held, ok := r.listed[in.ID]
 		if !ok {
 			came++
 		}
-		// A new start makes an entry anew as well.
+		// A new start creates the entry again as well.
 		if ok && held.Created != in.Created && !held.RestartedAs(in) {
 			return true
 		}
@@ -150,51 +150,51 @@
 			missing++
 		}
 	}
-	return missing > came+len(r.listed)/lapsedPart
+	return missing > came+len(r.listed)/expiredDivisor
 }
 
 func (r *Roster) put(in balance.Instance) {
 	r.listed[in.ID] = in
-	delete(r.lapsed, in.ID)
-	delete(r.gone, in.ID)
-	delete(r.doubted, in.ID)
+	delete(r.expired, in.ID)
+	delete(r.tombstone, in.ID)
+	delete(r.unconfirmed, in.ID)
 }
 
 func (r *Roster) remove(now time.Time, id string) {
-	delete(r.doubted, id)
+	delete(r.unconfirmed, id)
 	in, ok := r.listed[id]
 	if !ok {
 		return
 	}
-	if r.recoveredAt.IsZero() || now.Sub(r.recoveredAt) > recovering || in.Leaving || !r.lapseSeen {
-		r.depart(now, id)
+	if r.recoveredAt.IsZero() || now.Sub(r.recoveredAt) > recoveryWindow || in.Leaving || !r.expirySeen {
+		r.removeListed(now, id)
 		return
 	}
-	if _, ok := r.lapsed[id]; !ok {
-		r.lapsed[id] = r.recoveredAt.Add(recovering)
+	if _, ok := r.expired[id]; !ok {
+		r.expired[id] = r.recoveredAt.Add(recoveryWindow)
 	}
 }
 
-// Drop takes upstreams off at once: what stands under their identities names none to use.
-// That says nothing about entries that lapsed.
+// Drop removes upstreams at once, because the entries under their identities do not name
+// usable ones. That does not indicate that entries expired.
 func (r *Roster) Drop(ids []string) {
 	for _, id := range ids {
 		delete(r.listed, id)
-		delete(r.lapsed, id)
-		delete(r.doubted, id)
+		delete(r.expired, id)
+		delete(r.unconfirmed, id)
 	}
 }
 
-// Current returns the upstreams in order of identity, and forgets the lapsed
-// ones whose time is over. Doubted ones whose time is over are believed.
+// Current returns the upstreams sorted by identity. It first removes the retained entries
+// whose time is over, and confirms the unconfirmed ones whose time is over.
 func (r *Roster) Current(now time.Time) []balance.Instance {
-	for id, until := range r.lapsed {
+	for id, until := range r.expired {
 		if !now.Before(until) {
-			r.depart(now, id)
+			r.removeListed(now, id)
 		}
 	}
-	r.believe(now)
-	r.endEvacuations(now)
+	r.confirm(now)
+	r.expireEvacuations(now)
 	list := make([]balance.Instance, 0, len(r.listed))
 	for _, in := range r.listed {
 		_, in.Evacuated = r.evacuated[in.Zone]
@@ -204,15 +204,15 @@
 	return list
 }
 
-// Lapsed returns the number of entries that are kept though they lapsed.
-func (r *Roster) Lapsed() int { return len(r.lapsed) }
+// Lapsed returns the number of entries that are retained although they expired.
+func (r *Roster) Lapsed() int { return len(r.expired) }
 
-// Doubted returns the number of upstreams that only a copy of the list names.
-func (r *Roster) Doubted() int { return len(r.doubted) }
+// Doubted returns the number of upstreams that only a restored copy of the store lists.
+func (r *Roster) Doubted() int { return len(r.unconfirmed) }
 
-// NextEnd returns when the list changes next without a word from its keeper: a lapsed entry
-// is forgotten, a doubted one believed, an evacuation that a copy lacks ends. False if
-// nothing of this is to come.
+// NextEnd returns when the list changes next without a message from the store: a retained
+// entry is removed, an unconfirmed one is confirmed, or an evacuation that a copy lacks
+// expires. It returns false if no such change is pending.
 func (r *Roster) NextEnd() (time.Time, bool) {
 	var first time.Time
 	earliest := func(end time.Time) {
@@ -220,10 +220,10 @@
 			first = end
 		}
 	}
-	for _, until := range r.lapsed {
+	for _, until := range r.expired {
 		earliest(until)
 	}
-	for _, d := range r.doubted {
+	for _, d := range r.unconfirmed {
 		earliest(d.until)
 	}
 	for _, until := range r.evacuated {
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -28,49 +28,49 @@
 		at   time.Time
 		want string
 	}{
-		{"what is listed is there", func(*Roster) {}, at(0), "ab"},
-		{"what is removed is gone at once", func(r *Roster) { r.Change(at(0), nil, []string{"a"}) }, at(0), "b"},
-		{"what is not listed any more is gone", func(r *Roster) { r.Replace(at(0), both[1:]) }, at(0), "b"},
-		{"what lapsed in an outage is kept", func(r *Roster) {
+		{"listed upstreams are returned", func(*Roster) {}, at(0), "ab"},
+		{"a removed upstream is dropped at once", func(r *Roster) { r.Change(at(0), nil, []string{"a"}) }, at(0), "b"},
+		{"an upstream that is not listed any more is dropped", func(r *Roster) { r.Replace(at(0), both[1:]) }, at(0), "b"},
+		{"an entry that expired in an outage is retained", func(r *Roster) {
 			r.Recovered(at(0))
 			r.Replace(at(10), both[1:])
 		}, at(2000), "ab"},
-		{"what did not come back is gone", func(r *Roster) {
+		{"an entry that was not created again is dropped", func(r *Roster) {
 			r.Recovered(at(0))
 			r.Replace(at(10), both[1:])
 		}, at(2200), "b"},
-		{"what came back stays", func(r *Roster) {
+		{"an entry that was created again stays", func(r *Roster) {
 			r.Recovered(at(0))
 			r.Replace(at(10), both[1:])
 			r.Change(at(900), both[:1], nil)
 		}, at(5000), "ab"},
-		// Its entry lapsed when it crashed, whatever the outage did, and says nothing of
-		// the others.
-		{"a new start under its identity shows no lapse", func(r *Roster) {
+		// Its entry expired because of its own crash, not of the outage, and indicates
+		// nothing about the others.
+		{"a new start under the same identity does not indicate expiry", func(r *Roster) {
 			r.Replace(at(0), []balance.Instance{{ID: "a", Created: 1, Born: 1}, {ID: "b", Created: 2, Born: 1}, {ID: "c"}, {ID: "d"}, {ID: "e"}})
 			r.Recovered(at(10))
 			r.Change(at(20), []balance.Instance{{ID: "a", Created: 9, Born: 2}}, nil)
 			r.Change(at(30), nil, []string{"b"})
 		}, at(40), "acde"},
-		// Found by a hunt: a replica that left 1.6 s after the store was back
-		// was used for two seconds more.
-		{"what leaves after the return is not kept longer for it", func(r *Roster) {
+		// Guards against using a replica for two seconds longer that left 1.6 s after the
+		// store was back.
+		{"an upstream that leaves after the return is not retained longer", func(r *Roster) {
 			r.Recovered(at(0))
 			r.Change(at(1600), nil, []string{"a"})
 		}, at(2200), "b"},
-		{"what said that it leaves is not kept", func(r *Roster) {
+		{"an upstream that announced that it leaves is not retained", func(r *Roster) {
 			r.Recovered(at(0))
 			r.Change(at(10), []balance.Instance{{ID: "a", Leaving: true}}, nil)
 			r.Change(at(20), nil, []string{"a"})
 		}, at(20), "b"},
 	}
-	// Found by a hunt: a gateway that was cut off for 12 s used a replica that
-	// had left in the meantime for three seconds more.
+	// A gateway that alone lost the store for 12 s must not use a replica that left in
+	// the meantime for three seconds longer.
 	eight := make([]balance.Instance, 8)
 	for i := range eight {
 		eight[i] = balance.Instance{ID: string(rune('a' + i)), Created: int64(i + 1)}
 	}
-	cut := func(t *testing.T, list []balance.Instance, want string) {
+	isolated := func(t *testing.T, list []balance.Instance, want string) {
 		t.Helper()
 		is := is.New(t)
 		r := New()
@@ -81,17 +81,17 @@
 		end, kept := r.NextEnd()
 		is.Equal(kept, r.Lapsed() > 0)
 		if kept {
-			is.Equal(end, at(10).Add(recovering))
+			is.Equal(end, at(10).Add(recoveryWindow))
 			r.Current(end)
 			is.Equal(r.Lapsed(), 0)
 		}
 	}
-	back := eight[1]
-	back.Created = 40
-	cut(t, append(slices.Clone(eight[2:]), balance.Instance{ID: "x"}, balance.Instance{ID: "y"}), "cdefghxy") // replaced
-	cut(t, eight[1:], "bcdefgh")                                                                              // one has left
-	cut(t, eight[4:], "abcdefgh")                                                                             // half lapsed
-	cut(t, append([]balance.Instance{back}, eight[2:]...), "abcdefgh")                                        // one is back already
+	recreated := eight[1]
+	recreated.Created = 40
+	isolated(t, append(slices.Clone(eight[2:]), balance.Instance{ID: "x"}, balance.Instance{ID: "y"}), "cdefghxy") // replaced
+	isolated(t, eight[1:], "bcdefgh")                                                                              // one has left
+	isolated(t, eight[4:], "abcdefgh")                                                                             // half expired
+	isolated(t, append([]balance.Instance{recreated}, eight[2:]...), "abcdefgh")                                   // one is created again already
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
