--- a/internal/core/fleet/backoff_test.go
+++ b/internal/core/fleet/backoff_test.go
@@ -105,7 +105,7 @@
 	}
 	address, ok := f.Next(w.now, w.stale(i), w.rng.Uint64())
 	if !ok {
-		w.ask(i)
+		w.queryStore(i)
 		return
 	}
 	j := w.index[address]
@@ -121,8 +121,8 @@
 	}
 }
 
-// ask queries the store.
-func (w *storeSimulation) ask(i int) {
+// queryStore queries the store.
+func (w *storeSimulation) queryStore(i int) {
 	f := w.list[i]
 	w.calls++
 	if !w.answers(i) {
--- a/internal/core/fleet/bootstrap_test.go
+++ b/internal/core/fleet/bootstrap_test.go
@@ -16,7 +16,7 @@
 		name  string
 		self  string
 		seeds []string
-		heard []Member
+		known []Member
 		down  []string
 		after time.Duration
 		// follows holds the addresses that may be followed; none means the store.
@@ -29,11 +29,11 @@
 		{name: "without seeds it reads the store", self: "x", seeds: nil},
 		{name: "other gateways query a seed", self: "x", seeds: seeds, follows: seeds, waits: true},
 		{name: "after a restart they query a seed without waiting", self: "x", seeds: seeds, follows: seeds, again: true},
-		{name: "a seed that is down", self: "x", seeds: seeds, heard: []Member{{Address: "s-1", Zone: "b", Start: 1, Beat: 1}}, down: []string{"s-1"}, follows: []string{"s-2"}, waits: true},
-		{name: "a known gateway is preferred to the seeds", self: "x", seeds: seeds, heard: []Member{{Address: "y", Zone: "a", Start: 1, Beat: 1}}, follows: []string{"y"}, waits: true},
+		{name: "a seed that is down", self: "x", seeds: seeds, known: []Member{{Address: "s-1", Zone: "b", Start: 1, Beat: 1}}, down: []string{"s-1"}, follows: []string{"s-2"}, waits: true},
+		{name: "a known gateway is preferred to the seeds", self: "x", seeds: seeds, known: []Member{{Address: "y", Zone: "a", Start: 1, Beat: 1}}, follows: []string{"y"}, waits: true},
 		{name: "after the longest wait it does not defer any more", self: "x", seeds: seeds, after: maxInitialWait, follows: seeds},
 		{name: "introduced", self: "x", seeds: seeds, after: bootstrapPeriod + 1},
-		{name: "after the bootstrap period a seed follows as well", self: "s-1", seeds: seeds, heard: []Member{{Address: "y", Zone: "a", Start: 1, Beat: 1}}, after: bootstrapPeriod + 1, follows: []string{"y"}},
+		{name: "after the bootstrap period a seed follows as well", self: "s-1", seeds: seeds, known: []Member{{Address: "y", Zone: "a", Start: 1, Beat: 1}}, after: bootstrapPeriod + 1, follows: []string{"y"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -43,7 +43,7 @@
 				f := New(Member{Address: tt.self, Zone: "a"})
 				f.Started(t0, tt.seeds, !tt.again, random*7919)
 				now := t0.Add(tt.after)
-				f.Merge(now, tt.heard)
+				f.Merge(now, tt.known)
 				for _, address := range tt.down {
 					f.Down(now, address)
 				}
@@ -53,11 +53,11 @@
 				}
 			}
 			// Either gateway may rank first in its zone, depending on its address.
-			if len(tt.heard) == 0 || tt.heard[0].Zone != "a" {
+			if len(tt.known) == 0 || tt.known[0].Zone != "a" {
 				is.Equal(len(used), len(tt.follows))
 			}
 			for _, address := range tt.follows {
-				is.True(used[address] || tt.heard != nil)
+				is.True(used[address] || tt.known != nil)
 			}
 		})
 	}
--- a/internal/core/reader/simulation_test.go
+++ b/internal/core/reader/simulation_test.go
@@ -268,9 +268,9 @@
 		case Pause:
 			w.schedule(m, incarnation, w.now.Add(q.Wait), func() { w.step(m, incarnation) })
 		case AskPeer:
-			w.askPeer(m, w.list[w.index[q.Address]], q)
+			w.queryPeer(m, w.list[w.index[q.Address]], q)
 		case List:
-			w.askStore(m, listLatency, listTimeout, func(asked time.Time) { w.listed(m, asked) })
+			w.queryStore(m, listLatency, listTimeout, func(sentAt time.Time) { w.listed(m, sentAt) })
 		case Watch:
 			w.watch(m, q.Wait)
 		}
@@ -300,12 +300,12 @@
 			took = until
 		}
 	}
-	w.askStore(m, took+storeLatency, wait+watchSlack, func(asked time.Time) {
+	w.queryStore(m, took+storeLatency, wait+watchSlack, func(sentAt time.Time) {
 		if gone {
 			m.reader.CannotFollow()
 			return
 		}
-		w.watched(m, asked, wait, stalled && took > 0)
+		w.watched(m, sentAt, wait, stalled && took > 0)
 	})
 }
 
@@ -331,12 +331,12 @@
 }
 
 // watched handles the answer to a watch.
-func (w *simulation) watched(m *member, asked time.Time, wait time.Duration, nothing bool) {
+func (w *simulation) watched(m *member, sentAt time.Time, wait time.Duration, nothing bool) {
 	newest := w.newest(w.now.Add(-storeLatency))
 	news := newest > m.version && !nothing
-	proof := asked
-	if held := w.now.Sub(asked); !news && held >= wait && held <= wait+300*time.Millisecond {
-		proof = asked.Add(wait)
+	proof := sentAt
+	if held := w.now.Sub(sentAt); !news && held >= wait && held <= wait+300*time.Millisecond {
+		proof = sentAt.Add(wait)
 	}
 	if news {
 		w.learn(m, newest)
@@ -346,27 +346,27 @@
 }
 
 // listed handles the answer to a listing.
-func (w *simulation) listed(m *member, asked time.Time) {
+func (w *simulation) listed(m *member, sentAt time.Time) {
 	m.reader.Listed()
 	m.known = true
-	w.learn(m, w.newest(asked))
-	w.prove(m, asked)
+	w.learn(m, w.newest(sentAt))
+	w.prove(m, sentAt)
 }
 
-// askStore queries the store, which answers after the latency unless a fault prevents it.
-func (w *simulation) askStore(m *member, latency, timeout time.Duration, take func(asked time.Time)) {
+// queryStore queries the store, which answers after the latency unless a fault prevents it.
+func (w *simulation) queryStore(m *member, latency, timeout time.Duration, take func(sentAt time.Time)) {
 	w.calls = append(w.calls, w.now.Sub(t0))
-	asked, incarnation := w.now, m.incarnation
-	answered, failed := asked.Add(latency), asked.Add(timeout)
+	sentAt, incarnation := w.now, m.incarnation
+	answered, failed := sentAt.Add(latency), sentAt.Add(timeout)
 	for _, t := range w.faults {
 		from, until := t0.Add(t.from), t0.Add(t.until)
-		if (t.kind != silent && t.kind != refusing) || !t.affects(m.i) || !until.After(asked) || from.After(answered) {
+		if (t.kind != silent && t.kind != refusing) || !t.affects(m.i) || !until.After(sentAt) || from.After(answered) {
 			continue
 		}
 		answered = failed.Add(1)
 		if t.kind == refusing {
-			failed = asked.Add(storeLatency)
-			if from.After(asked) {
+			failed = sentAt.Add(storeLatency)
+			if from.After(sentAt) {
 				failed = from
 			}
 		}
@@ -378,7 +378,7 @@
 	w.schedule(m, incarnation, answered, func() {
 		m.fleet.StoreAnswered()
 		m.reader.StoreAnswered(w.now)
-		take(asked)
+		take(sentAt)
 		w.step(m, incarnation)
 	})
 }
@@ -413,8 +413,8 @@
 	}
 }
 
-// askPeer queries another gateway.
-func (w *simulation) askPeer(m, to *member, q Question) {
+// queryPeer queries another gateway.
+func (w *simulation) queryPeer(m, to *member, q Question) {
 	incarnation := m.incarnation
 	p := &poll{from: m, incarnation: incarnation, version: m.version, proof: m.proof, began: w.now}
 	failAfter := q.Timeout
