--- a/internal/core/balance/replay_shifted_test.go
+++ b/internal/core/balance/replay_shifted_test.go
@@ -91,7 +91,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			pace := occupancy.PaceOf(tt.zone, fleet.CellMost, true)
+			pace := occupancy.PaceOf(tt.zone, fleet.MaxCellSize, true)
 			r := newAdmittingReplay(31, 56, shiftedClasses(tt.scale))
 			r.every, r.lag = pace.Members, pace.Age()-pace.Members/2
 			r.crash(6, 0.21)
--- a/internal/core/config/class.go
+++ b/internal/core/config/class.go
@@ -41,8 +41,8 @@
 	return c.Completion
 }
 
-// Met reports whether an answer with these times meets the targets.
-func (c *Class) Met(firstToken, completion time.Duration) bool {
+// MeetsTargets reports whether an answer with these times meets the targets.
+func (c *Class) MeetsTargets(firstToken, completion time.Duration) bool {
 	if c.FirstToken > 0 && firstToken > c.FirstToken {
 		return false
 	}
--- a/internal/core/feed/feed.go
+++ b/internal/core/feed/feed.go
@@ -150,7 +150,7 @@
 	if p.Epoch != f.position.Epoch {
 		return
 	}
-	f.position = f.position.Furthest(p)
+	f.position = f.position.Later(p)
 	for _, e := range entries {
 		held, ok := f.entries[e.Key]
 		if 0 < e.Version && e.Version < held.Version {
--- a/internal/core/feed/position.go
+++ b/internal/core/feed/position.go
@@ -19,8 +19,8 @@
 	return p.Revision < other.Revision
 }
 
-// Furthest returns the later of both positions.
-func (p Position) Furthest(other Position) Position {
+// Later returns the later of both positions.
+func (p Position) Later(other Position) Position {
 	if p.Before(other) {
 		return other
 	}
--- a/internal/core/fleet/backoff.go
+++ b/internal/core/fleet/backoff.go
@@ -34,17 +34,17 @@
 // Backoff returns how much longer this gateway avoids the store; 0 if it does not.
 func (f *Fleet) Backoff(now time.Time) time.Duration { return max(0, f.backoffUntil.Sub(now)) }
 
-// BacksOff records for how long the gateway at the address avoids the store.
-func (f *Fleet) BacksOff(now time.Time, address string, d time.Duration) {
+// SetPeerBackoff records for how long the gateway at the address avoids the store.
+func (f *Fleet) SetPeerBackoff(now time.Time, address string, d time.Duration) {
 	if p, ok := f.peers[address]; ok {
 		p.backoffUntil = now.Add(min(d, storeBackoff))
 	}
 }
 
-// Next returns the gateway to query next for the state of the store, selected at random
+// NextPeer returns the gateway to query next for the state of the store, selected at random
 // where several qualify; false if this gateway queries the store itself. The stale
 // argument is true if the known state is too old to wait for the parent alone.
-func (f *Fleet) Next(now time.Time, stale bool, random uint64) (string, bool) {
+func (f *Fleet) NextPeer(now time.Time, stale bool, random uint64) (string, bool) {
 	if !stale {
 		f.staleQueries = 0
 		return f.Source(now, random)
@@ -88,7 +88,7 @@
 		}
 	}
 	if len(addresses) == 0 {
-		return f.Other(now, random)
+		return f.RandomPeer(now, random)
 	}
 	return addresses[random%uint64(len(addresses))], true
 }
--- a/internal/core/fleet/backoff_test.go
+++ b/internal/core/fleet/backoff_test.go
@@ -103,14 +103,14 @@
 	if w.now.Before(w.busyUntil[i]) {
 		return
 	}
-	address, ok := f.Next(w.now, w.stale(i), w.rng.Uint64())
+	address, ok := f.NextPeer(w.now, w.stale(i), w.rng.Uint64())
 	if !ok {
 		w.queryStore(i)
 		return
 	}
 	j := w.index[address]
 	if d := w.list[j].Backoff(w.now); d > 0 {
-		f.BacksOff(w.now, address, d)
+		f.SetPeerBackoff(w.now, address, d)
 	}
 	if w.proof[j].After(w.proof[i]) {
 		w.proof[i] = w.proof[j]
--- a/internal/core/fleet/bootstrap.go
+++ b/internal/core/fleet/bootstrap.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// WaitsForOthers reports whether the gateway, which has no state of the store yet, still
+// DefersStoreRead reports whether the gateway, which has no state of the store yet, still
 // leaves reading it to others.
-func (f *Fleet) WaitsForOthers(now time.Time) bool { return now.Before(f.start.readDeadline) }
+func (f *Fleet) DefersStoreRead(now time.Time) bool { return now.Before(f.start.readDeadline) }
 
 // queriesSeedFirst reports whether a gateway that has just read the whole state, but has
 // no proof that it is current, queries a seed for the proof before the store. When all
--- a/internal/core/fleet/bootstrap_test.go
+++ b/internal/core/fleet/bootstrap_test.go
@@ -45,9 +45,9 @@
 				now := t0.Add(tt.after)
 				f.Merge(now, tt.known)
 				for _, address := range tt.down {
-					f.Down(now, address)
+					f.CallFailed(now, address)
 				}
-				is.Equal(f.WaitsForOthers(now), tt.waits)
+				is.Equal(f.DefersStoreRead(now), tt.waits)
 				if address, ok := f.Source(now, random); ok {
 					used[address] = true
 				}
@@ -71,14 +71,14 @@
 	for i := range 100 {
 		f.Merge(t0, []Member{{Address: fmt.Sprintf("b-%d", i), Zone: "b", Start: 1, Beat: 1}})
 	}
-	is.Equal(len(f.Share(t0, 1, 7)), 101)
-	is.Equal(len(f.Share(t0, 100, 7)), 101) // the fleet is still discovering its members
-	is.Equal(len(f.Share(t0.Add(discoveryPeriod), 1, 7)), 101)
-	is.Equal(len(f.Share(t0.Add(discoveryPeriod), 100, 7)), ShareMost)
+	is.Equal(len(f.Sample(t0, 1, 7)), 101)
+	is.Equal(len(f.Sample(t0, 100, 7)), 101) // the fleet is still discovering its members
+	is.Equal(len(f.Sample(t0.Add(discoveryPeriod), 1, 7)), 101)
+	is.Equal(len(f.Sample(t0.Add(discoveryPeriod), 100, 7)), MaxSample)
 	for i := range 900 {
 		f.Merge(t0, []Member{{Address: fmt.Sprintf("c-%d", i), Zone: "c", Start: 1, Beat: 1}})
 	}
-	is.Equal(len(f.Share(t0, 1, 7)), IntroduceMost)
+	is.Equal(len(f.Sample(t0, 1, 7)), MaxBootstrapSample)
 }
 
 // A gateway that has read the whole state at its start queries a seed once for the proof
@@ -102,10 +102,10 @@
 			f := New(Member{Address: tt.self, Zone: "a"})
 			f.Started(t0, seeds, false, 7)
 			now := t0.Add(tt.after)
-			address, ok := f.Next(now, true, 1)
+			address, ok := f.NextPeer(now, true, 1)
 			is.Equal(!ok, tt.first)
 			is.True(!ok || slices.Contains(seeds, address))
-			_, ok = f.Next(now, true, 1)
+			_, ok = f.NextPeer(now, true, 1)
 			is.True(!ok) // it is the first of its zone in its own view
 		})
 	}
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -16,7 +16,7 @@
 //	f := fleet.New(self)
 //	f.Beat()
 //	f.Merge(now, members)
-//	if address, ok := f.Next(now, stale, random); ok {
+//	if address, ok := f.NextPeer(now, stale, random); ok {
 //		follow(address)
 //	}
 package fleet
@@ -35,16 +35,17 @@
 
 // Sizes and durations of the gossip protocol.
 const (
-	// ExchangeEvery is the mean interval between two exchanges that a gateway starts.
-	ExchangeEvery = time.Second
-	// ShareMost is the largest number of gateways in one message. Each takes about 60
+	// ExchangeInterval is the mean interval between two exchanges that a gateway starts.
+	ExchangeInterval = time.Second
+	// MaxSample is the largest number of gateways in one message. Each takes about 60
 	// bytes, so that two exchanges a second stay within the 4 KB/s that control traffic
 	// may cost a gateway.
-	ShareMost = 16
-	// IntroduceMost is the largest number in a message to a gateway that knows less than
-	// half as many as the sender, which has just started. It receives one or two such
-	// messages. The same limit applies while the fleet is still discovering its members.
-	IntroduceMost = 128
+	MaxSample = 16
+	// MaxBootstrapSample is the largest number in a message to a gateway that knows less
+	// than half as many as the sender, which has just started. It receives one or two
+	// such messages. The same limit applies while the fleet is still discovering its
+	// members.
+	MaxBootstrapSample = 128
 	// discoveryRatio is the fraction of new gateways in a message above which other
 	// gateways are assumed to lack as many.
 	discoveryRatio = 0.08
@@ -149,7 +150,7 @@
 // peerTimeout is how long a gateway is considered alive without a new heartbeat. It grows
 // with the fleet, because a heartbeat then takes longer to reach every gateway.
 func (f *Fleet) peerTimeout() time.Duration {
-	return basePeerTimeout * time.Duration(1+len(f.peers)/ShareMost)
+	return basePeerTimeout * time.Duration(1+len(f.peers)/MaxSample)
 }
 
 // forget removes the gateways whose heartbeat is older than the retention time. Until
@@ -206,13 +207,13 @@
 	return n
 }
 
-// Share returns the members for the next message to a gateway that knows the given number
+// Sample returns the members for the next message to a gateway that knows the given number
 // of gateways: this gateway and a random sample of the others.
-func (f *Fleet) Share(now time.Time, known int, random uint64) []Member {
+func (f *Fleet) Sample(now time.Time, known int, random uint64) []Member {
 	list := f.alive(now)
-	most := ShareMost
+	most := MaxSample
 	if 2*known <= len(list) || now.Before(f.discoveringUntil) {
-		most = IntroduceMost
+		most = MaxBootstrapSample
 	}
 	slices.SortFunc(list, func(a, b *peer) int {
 		return cmp.Compare(rendezvous.Mix(random, a.hash), rendezvous.Mix(random, b.hash))
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -29,21 +29,21 @@
 	}
 	seeds := []string{list[0].self.Address, list[1].self.Address, list[2].self.Address}
 	for range seconds {
-		now = now.Add(ExchangeEvery)
+		now = now.Add(ExchangeInterval)
 		for i, f := range list {
 			f.Beat()
-			address, ok := f.Partner(now, rng.Uint64(), seeds)
+			address, ok := f.ExchangePeer(now, rng.Uint64(), seeds)
 			j := index[address]
 			if !ok || i == j {
 				continue
 			}
 			if !reach(i, j) {
-				f.Down(now, address)
+				f.CallFailed(now, address)
 				continue
 			}
-			payload := f.Share(now, f.Known(now), rng.Uint64())
+			payload := f.Sample(now, f.Known(now), rng.Uint64())
 			list[j].Merge(now, payload)
-			f.Merge(now, list[j].Share(now, f.Known(now), rng.Uint64()))
+			f.Merge(now, list[j].Sample(now, f.Known(now), rng.Uint64()))
 		}
 	}
 	return now
@@ -137,13 +137,13 @@
 	is.Equal(f.peers["b:1"].Beat, uint64(7)) // an older heartbeat changes nothing
 	f.Merge(t0.Add(time.Second), []Member{{Address: "b:1", Zone: "z", Start: 2, Beat: 1}})
 	is.Equal(f.peers["b:1"].Start, uint64(2)) // the heartbeat restarts with a new start
-	f.Down(t0.Add(time.Second), "b:1")
-	_, ok := f.Other(t0.Add(2*time.Second), 1)
+	f.CallFailed(t0.Add(time.Second), "b:1")
+	_, ok := f.RandomPeer(t0.Add(2*time.Second), 1)
 	is.True(!ok)
 	_, ok = f.Parent(t0.Add(2 * time.Second))
 	is.True(!ok) // no gateway to follow
 	f.Merge(t0.Add(4*time.Second), []Member{{Address: "b:1", Zone: "z", Start: 2, Beat: 2, Leaving: true}})
-	_, ok = f.Other(t0.Add(5*time.Second), 1)
+	_, ok = f.RandomPeer(t0.Add(5*time.Second), 1)
 	is.True(!ok)
 	is.Equal(f.Size(t0.Add(5*time.Second)), 2)
 	is.Equal(len(f.alive(t0.Add(12*time.Second))), 0)
@@ -197,7 +197,7 @@
 		if self {
 			continue
 		}
-		f.RelayDown(now, first)
+		f.RelayFailed(now, first)
 		next, _ := f.Relay(now)
 		is.True(next != first)
 		back, _ := f.Relay(now.Add(callBackoff))
--- a/internal/core/fleet/peers.go
+++ b/internal/core/fleet/peers.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Down records that a call to the gateway failed.
-func (f *Fleet) Down(now time.Time, address string) {
+// CallFailed records that a call to the gateway failed.
+func (f *Fleet) CallFailed(now time.Time, address string) {
 	if p, ok := f.peers[address]; ok {
 		p.downUntil = now.Add(p.failed())
 	}
@@ -34,8 +34,8 @@
 	return addresses
 }
 
-// Other returns a random gateway that may be called; false if none is known.
-func (f *Fleet) Other(now time.Time, random uint64) (string, bool) {
+// RandomPeer returns a random gateway that may be called; false if none is known.
+func (f *Fleet) RandomPeer(now time.Time, random uint64) (string, bool) {
 	list := f.reachable(now, "")
 	if len(list) == 0 {
 		return "", false
@@ -43,21 +43,21 @@
 	return list[random%uint64(len(list))], true
 }
 
-// Partner returns the gateway for the next gossip exchange, selected at random; false if
-// none is known. One exchange in rejoinInterval goes to a gateway without a recent
-// heartbeat or to a seed, so that the parts of a partitioned fleet find each other again.
-// In a large availability zone half of the exchanges stay in the zone, because traffic
-// between zones is expensive.
-func (f *Fleet) Partner(now time.Time, random uint64, seeds []string) (string, bool) {
+// ExchangePeer returns the gateway for the next gossip exchange, selected at random;
+// false if none is known. One exchange in rejoinInterval goes to a gateway without a
+// recent heartbeat or to a seed, so that the parts of a partitioned fleet find each other
+// again. In a large availability zone half of the exchanges stay in the zone, because
+// traffic between zones is expensive.
+func (f *Fleet) ExchangePeer(now time.Time, random uint64, seeds []string) (string, bool) {
 	list := f.reachable(now, "")
 	switch {
 	case len(list) == 0 || random%rejoinInterval == 0:
 		list = f.unseenAddresses(now, seeds)
-	case random%rejoinInterval > 1 && f.ZoneSize(now) > ShareMost:
+	case random%rejoinInterval > 1 && f.ZoneSize(now) > MaxSample:
 		list = f.reachable(now, f.self.Zone)
 	}
 	if len(list) == 0 {
-		return f.Other(now, random)
+		return f.RandomPeer(now, random)
 	}
 	return list[(random/rejoinInterval)%uint64(len(list))], true
 }
--- a/internal/core/fleet/ranking_test.go
+++ b/internal/core/fleet/ranking_test.go
@@ -44,7 +44,7 @@
 			f.Merge(t0, members)
 			if tt.down {
 				for _, m := range members[:tt.strong] {
-					f.Down(t0, m.Address)
+					f.CallFailed(t0, m.Address)
 				}
 			}
 			relay, _ := f.Relay(t0)
--- a/internal/core/fleet/relay.go
+++ b/internal/core/fleet/relay.go
@@ -19,30 +19,30 @@
 // the work of a relay nor the report interval of a gateway depends on the size of the
 // zone.
 
-// CellMost is the approximate number of gateways for which one relay aggregates; an
+// MaxCellSize is the approximate number of gateways for which one relay aggregates; an
 // availability zone with more is divided into cells.
-const CellMost = 32
+const MaxCellSize = 32
 
-// Duty is the role of a gateway in the aggregation of upstream loads.
-type Duty struct {
-	// To is the gateway that it reports to; empty if it is the relay of its availability
-	// zone.
-	To string
-	// Sums is true if it aggregates the reports of other gateways.
-	Sums bool
+// AggregationRole is the role of a gateway in the aggregation of upstream loads.
+type AggregationRole struct {
+	// ReportTo is the gateway that it reports to; empty if it is the relay of its
+	// availability zone.
+	ReportTo string
+	// Aggregates is true if it aggregates the reports of other gateways.
+	Aggregates bool
 }
 
-// Duty returns the role of this gateway.
-func (f *Fleet) Duty(now time.Time) Duty {
+// AggregationRole returns the role of this gateway.
+func (f *Fleet) AggregationRole(now time.Time) AggregationRole {
 	ranked := f.relayOrder(now, f.self.Zone)
 	relays := ranked[:cells(len(ranked))]
 	switch slices.Index(relays, f.self.Address) {
 	case 0:
-		return Duty{Sums: true}
+		return AggregationRole{Aggregates: true}
 	case -1:
-		return Duty{To: rendezvous.Rank(f.self.Address, relays)[0]}
+		return AggregationRole{ReportTo: rendezvous.Rank(f.self.Address, relays)[0]}
 	default:
-		return Duty{To: relays[0], Sums: true}
+		return AggregationRole{ReportTo: relays[0], Aggregates: true}
 	}
 }
 
@@ -61,7 +61,7 @@
 }
 
 // cells returns the number of cells of an availability zone of n gateways.
-func cells(n int) int { return max(1, (n+CellMost-1)/CellMost) }
+func cells(n int) int { return max(1, (n+MaxCellSize-1)/MaxCellSize) }
 
 // Relay returns the gateway that aggregates the loads of the availability zone, and
 // whether it is this one. If there is a choice, it differs from the root of the zone's
@@ -94,9 +94,9 @@
 	return list
 }
 
-// RelayDown records that a relay did not answer: another one replaces it for a while.
+// RelayFailed records that a relay did not answer: another one replaces it for a while.
 // Other calls to that gateway are not affected, because their timeouts are longer.
-func (f *Fleet) RelayDown(now time.Time, address string) {
+func (f *Fleet) RelayFailed(now time.Time, address string) {
 	if p, ok := f.peers[address]; ok {
 		p.relayDownUntil = now.Add(p.failed())
 	}
--- a/internal/core/fleet/relay_test.go
+++ b/internal/core/fleet/relay_test.go
@@ -21,33 +21,33 @@
 			for _, f := range list {
 				members = append(members, f.self)
 			}
-			duties := make(map[string]Duty)
+			duties := make(map[string]AggregationRole)
 			for _, f := range list {
 				f.Merge(t0, members)
-				duties[f.self.Address] = f.Duty(t0)
+				duties[f.self.Address] = f.AggregationRole(t0)
 			}
 			top, reports := "", make(map[string]int)
 			for address, d := range duties {
-				reports[d.To]++
-				if d.To == "" {
+				reports[d.ReportTo]++
+				if d.ReportTo == "" {
 					is.Equal(top, "")
-					is.True(d.Sums)
+					is.True(d.Aggregates)
 					top = address
 				}
-				is.Equal(d.Sums, list[0].IsCellRelay(t0, address))
+				is.Equal(d.Aggregates, list[0].IsCellRelay(t0, address))
 			}
 			relays := 0
 			for address, d := range duties {
-				if d.Sums {
+				if d.Aggregates {
 					relays++
-					is.True(d.To == "" || d.To == top)
+					is.True(d.ReportTo == "" || d.ReportTo == top)
 				} else {
-					is.True(duties[d.To].Sums)
+					is.True(duties[d.ReportTo].Aggregates)
 				}
-				is.True(reports[address] <= 2*CellMost)
+				is.True(reports[address] <= 2*MaxCellSize)
 			}
 			is.Equal(relays, cells(n))
-			is.True(list[0].CellSize(t0) <= CellMost)
+			is.True(list[0].CellSize(t0) <= MaxCellSize)
 		})
 	}
 }
@@ -76,7 +76,7 @@
 				f.Merge(now, members)
 				if relay, _ := f.Relay(now); relay == dead {
 					tries++
-					f.RelayDown(now, relay)
+					f.RelayFailed(now, relay)
 				}
 			}
 			is.True(tries <= 6)
@@ -84,7 +84,7 @@
 			back.Beat = 1000
 			now := t0.Add(time.Minute)
 			f.Merge(now, []Member{back})
-			f.RelayDown(now, dead)
+			f.RelayFailed(now, dead)
 			relay, _ := f.Relay(now.Add(callBackoff))
 			is.Equal(relay, dead)
 		})
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -141,7 +141,7 @@
 func (f *drawnFleet) settle(now time.Time) {
 	members := make([]fleet.Member, len(f.gateways))
 	for i, g := range f.gateways {
-		members[i] = g.fleet.Share(now, 1, 0)[0]
+		members[i] = g.fleet.Sample(now, 1, 0)[0]
 	}
 	for _, g := range f.gateways {
 		g.fleet.Merge(now, members)
@@ -155,8 +155,8 @@
 		return
 	}
 	g.fleet.Beat()
-	other.fleet.Merge(now, g.fleet.Share(now, other.fleet.Known(now), f.rng.Uint64()))
-	g.fleet.Merge(now, other.fleet.Share(now, g.fleet.Known(now), f.rng.Uint64()))
+	other.fleet.Merge(now, g.fleet.Sample(now, other.fleet.Known(now), f.rng.Uint64()))
+	g.fleet.Merge(now, other.fleet.Sample(now, g.fleet.Known(now), f.rng.Uint64()))
 	g.swappedAt = now
 }
 
@@ -230,7 +230,7 @@
 	for now := from; now.Before(from.Add(length)); now = now.Add(step) {
 		before(now)
 		for _, g := range f.gateways {
-			if now.Sub(g.swappedAt) > fleet.ExchangeEvery && f.rng.IntN(10+len(f.gateways)/2) == 0 {
+			if now.Sub(g.swappedAt) > fleet.ExchangeInterval && f.rng.IntN(10+len(f.gateways)/2) == 0 {
 				f.swap(now, g)
 			}
 			if now.Before(g.stopped) || now.Before(g.limitAt) || !g.isHolder(now, key, split.Holders) {
--- a/internal/core/reader/bounds.go
+++ b/internal/core/reader/bounds.go
@@ -43,14 +43,14 @@
 	// ListAge is the age of the view up to which the upstream list is used without
 	// querying the store.
 	ListAge time.Duration
-	// ConfigWithin is the time within which a new configuration must be in force.
-	ConfigWithin time.Duration
+	// MaxConfigDelay is the time within which a new configuration must be in force.
+	MaxConfigDelay time.Duration
 }
 
-// UsualWait returns the wait of a watch in normal operation. Each answer proves the age
-// of the view again: for the keys if revocation is strict, and for the configuration in
-// any case.
-func (b Bounds) UsualWait() time.Duration {
+// DefaultWatchWait returns the wait of a watch in normal operation. Each answer proves
+// the age of the view again: for the keys if revocation is strict, and for the
+// configuration in any case.
+func (b Bounds) DefaultWatchWait() time.Duration {
 	wait := maxWatchWait
 	if b.KeyAge > 0 {
 		wait = min(wait, time.Duration(keyWatchShare*float64(b.KeyAge)))
@@ -58,19 +58,19 @@
 	if b.ListAge > 0 {
 		wait = min(wait, time.Duration(listWatchShare*float64(b.ListAge)))
 	}
-	if b.ConfigWithin > 0 {
-		wait = min(wait, time.Duration(configWatchShare*float64(b.ConfigWithin)))
+	if b.MaxConfigDelay > 0 {
+		wait = min(wait, time.Duration(configWatchShare*float64(b.MaxConfigDelay)))
 	}
 	return wait
 }
 
-// Late reports whether the view is too old to wait for a parent. A parent that has lost
+// IsStale reports whether the view is too old to wait for a parent. A parent that has lost
 // the store keeps answering until its own watch has timed out.
-func (b Bounds) Late(v View) bool { return v.InForce && b.untilStale(v) < 0 }
+func (b Bounds) IsStale(v View) bool { return v.InForce && b.untilStale(v) < 0 }
 
 // untilStale returns the time until the view is too old to wait for a parent.
 func (b Bounds) untilStale(v View) time.Duration {
-	limit := time.Duration(staleFactor * float64(b.UsualWait()))
+	limit := time.Duration(staleFactor * float64(b.DefaultWatchWait()))
 	if b.ListAge > 0 {
 		limit = min(limit, b.ListAge)
 	}
@@ -81,7 +81,7 @@
 // changes proves only the state at the time of its request; if the next one took the
 // usual wait, the followers would find the view stale and all query the store.
 func (b Bounds) nextWatchWait(v View) time.Duration {
-	usual := b.UsualWait()
+	usual := b.DefaultWatchWait()
 	if !v.InForce {
 		return usual
 	}
@@ -89,19 +89,19 @@
 	return min(usual, max(least, usual-v.Age))
 }
 
-// AskWithin returns the longest interval between the starts of two queries to the store
-// by a gateway whose view is stale.
-func (b Bounds) AskWithin() time.Duration {
-	if b.ConfigWithin <= 0 {
+// MaxQueryInterval returns the longest interval between the starts of two queries to the
+// store by a gateway whose view is stale.
+func (b Bounds) MaxQueryInterval() time.Duration {
+	if b.MaxConfigDelay <= 0 {
 		return defaultQueryInterval
 	}
-	return time.Duration(queryIntervalShare * float64(b.ConfigWithin))
+	return time.Duration(queryIntervalShare * float64(b.MaxConfigDelay))
 }
 
 // nextQueryDelay returns the randomized time after which a gateway queries the store
 // again.
 func (b Bounds) nextQueryDelay(random uint64) time.Duration {
-	d := b.AskWithin()
+	d := b.MaxQueryInterval()
 	return d - randomFraction(time.Duration(queryJitter*float64(d)), random)
 }
 
@@ -118,11 +118,11 @@
 // received must be in force.
 func (b Bounds) firstQueryDelay(v View, random uint64) time.Duration {
 	if !v.Known {
-		return b.AskWithin()
+		return b.MaxQueryInterval()
 	}
-	left := b.AskWithin()
-	if b.ConfigWithin > 0 {
-		left = min(left, b.ConfigWithin-answerTimeMargin-v.Age)
+	left := b.MaxQueryInterval()
+	if b.MaxConfigDelay > 0 {
+		left = min(left, b.MaxConfigDelay-answerTimeMargin-v.Age)
 	}
 	return randomFraction(left, random)
 }
--- a/internal/core/reader/lateness_test.go
+++ b/internal/core/reader/lateness_test.go
@@ -66,7 +66,7 @@
 // endOf returns when the fault has ended for all gateways that it affected.
 func (w *simulation) endOf(t fault) time.Duration {
 	if t.kind == compacted {
-		return t.until + w.bounds.UsualWait()
+		return t.until + w.bounds.DefaultWatchWait()
 	}
 	return t.until
 }
--- a/internal/core/reader/query.go
+++ b/internal/core/reader/query.go
@@ -9,16 +9,16 @@
 const (
 	// Pause queries nothing for a while.
 	Pause Kind = iota
-	// AskPeer queries another gateway.
-	AskPeer
+	// QueryPeer queries another gateway.
+	QueryPeer
 	// List reads everything that the store holds.
 	List
 	// Watch waits for changes in the store.
 	Watch
 )
 
-// Question is the next query of a gateway.
-type Question struct {
+// Query is the next query of a gateway.
+type Query struct {
 	Kind Kind
 	// Address is the address of the gateway to query.
 	Address string
@@ -69,7 +69,7 @@
 // outage returns at once: until it does, keys may be refused because of the age of the
 // view.
 func (r *Reader) watchWait(v View, b Bounds) time.Duration {
-	if r.listed || r.storeHealth.lost() || b.Late(v) {
+	if r.listed || r.storeHealth.lost() || b.IsStale(v) {
 		return recoveryWatchWait
 	}
 	return b.nextWatchWait(v)
--- a/internal/core/reader/reader.go
+++ b/internal/core/reader/reader.go
@@ -8,11 +8,11 @@
 //
 // Other gateways are queried first, but no bound depends on them. Once the known state is
 // stale, each gateway queries the store by itself before a bound is exceeded, and then
-// repeatedly, after at most Bounds.AskWithin, whatever it knows of other gateways and of
-// its own calls. A gateway that can reach the store therefore has its state within
-// AskWithin and the time of one answer. While the store answers no gateway, each one
-// queries it once in AskWithin, or up to queryJitter of that sooner, and the first ones
-// of their availability zones a little more often.
+// repeatedly, after at most Bounds.MaxQueryInterval, whatever it knows of other gateways
+// and of its own calls. A gateway that can reach the store therefore has its state within
+// MaxQueryInterval and the time of one answer. While the store answers no gateway, each
+// one queries it once in MaxQueryInterval, or up to queryJitter of that sooner, and the
+// first ones of their availability zones a little more often.
 //
 // # Usage
 //
@@ -20,7 +20,7 @@
 //	for {
 //		q := r.Next(now, view, bounds, fleet, random)
 //		switch q.Kind {
-//		case reader.AskPeer:
+//		case reader.QueryPeer:
 //			// query the gateway at q.Address, then r.PeerAnswered(now) or r.PeerFailed(known)
 //		case reader.List, reader.Watch:
 //			// query the store, then r.StoreAnswered(now) or r.StoreFailed(now, random)
@@ -86,10 +86,10 @@
 func New(now time.Time) *Reader { return &Reader{storeHealth: storeHealth{lastSuccess: now}} }
 
 // Next returns the next query; random selects between equal choices.
-func (r *Reader) Next(now time.Time, v View, b Bounds, f *fleet.Fleet, random uint64) Question {
+func (r *Reader) Next(now time.Time, v View, b Bounds, f *fleet.Fleet, random uint64) Query {
 	due := r.queryDue(now, v, b, random)
 	if left := r.pauseUntil.Sub(now); left > 0 && !due {
-		return Question{Kind: Pause, Wait: r.capToDeadline(now, left)}
+		return Query{Kind: Pause, Wait: r.capToDeadline(now, left)}
 	}
 	if !v.Known || !due {
 		if q, ok := r.peer(now, v, b, f, random); ok {
@@ -97,8 +97,8 @@
 		}
 	}
 	r.storeNext = false
-	if !v.Known && f.WaitsForOthers(now) {
-		return Question{Kind: Pause, Wait: bootstrapPause + randomFraction(bootstrapPause, random)}
+	if !v.Known && f.DefersStoreRead(now) {
+		return Query{Kind: Pause, Wait: bootstrapPause + randomFraction(bootstrapPause, random)}
 	}
 	return r.store(now, v, b, random)
 }
@@ -107,7 +107,7 @@
 // gateways. The first deadline is randomized so that not all gateways of a fleet query
 // the store at once.
 func (r *Reader) queryDue(now time.Time, v View, b Bounds, random uint64) bool {
-	if v.Known && !b.Late(v) {
+	if v.Known && !b.IsStale(v) {
 		r.queryDeadline = time.Time{}
 		return false
 	}
@@ -126,33 +126,33 @@
 }
 
 // store returns the query to the store.
-func (r *Reader) store(now time.Time, v View, b Bounds, random uint64) Question {
+func (r *Reader) store(now time.Time, v View, b Bounds, random uint64) Query {
 	if !r.queryDeadline.IsZero() {
 		r.queryDeadline = now.Add(b.nextQueryDelay(random))
 	}
 	if !v.Known || r.needsRelist {
-		return Question{Kind: List}
+		return Query{Kind: List}
 	}
-	return Question{Kind: Watch, Wait: r.watchWait(v, b)}
+	return Query{Kind: Watch, Wait: r.watchWait(v, b)}
 }
 
 // peer returns the query to another gateway; false if the store is to be queried. After a
 // failed call to the store, any other gateway may have newer state.
-func (r *Reader) peer(now time.Time, v View, b Bounds, f *fleet.Fleet, random uint64) (Question, bool) {
+func (r *Reader) peer(now time.Time, v View, b Bounds, f *fleet.Fleet, random uint64) (Query, bool) {
 	if r.storeNext {
-		return Question{}, false
+		return Query{}, false
 	}
 	wait, timeout := r.poll(v, b)
 	var address string
 	var ok bool
 	if r.tryPeer {
-		address, ok = f.Other(now, random)
+		address, ok = f.RandomPeer(now, random)
 	} else {
-		address, ok = f.Next(now, b.Late(v), random)
+		address, ok = f.NextPeer(now, b.IsStale(v), random)
 	}
 	r.tryPeer = false
 	timeout = max(r.capToDeadline(now, timeout), min(timeout, minTimeout))
-	return Question{Kind: AskPeer, Address: address, Wait: min(wait, timeout), Timeout: timeout}, ok
+	return Query{Kind: QueryPeer, Address: address, Wait: min(wait, timeout), Timeout: timeout}, ok
 }
 
 // PeerAnswered records that another gateway answered.
@@ -203,22 +203,22 @@
 	}
 }
 
-// Told records that another gateway sent its state, and whether that is ahead of what was
-// known.
-func (r *Reader) Told(further bool) {
+// PeerStateReceived records that another gateway sent its state, and whether that is
+// ahead of what was known.
+func (r *Reader) PeerStateReceived(further bool) {
 	r.listed = false
 	if further {
 		r.needsRelist = false
 	}
 }
 
-// CannotFollow records that the store no longer has the changes that follow the known
+// HistoryCompacted records that the store no longer has the changes that follow the known
 // state. A gateway whose view is stale lists the store at once, because its query has not
 // been answered yet.
-func (r *Reader) CannotFollow() {
+func (r *Reader) HistoryCompacted() {
 	r.needsRelist = true
 	r.storeNext = !r.queryDeadline.IsZero()
 }
 
-// Unfollowed reports whether the store must be listed again.
-func (r *Reader) Unfollowed() bool { return r.needsRelist }
+// NeedsRelist reports whether the store must be listed again.
+func (r *Reader) NeedsRelist() bool { return r.needsRelist }
--- a/internal/core/reader/reader_test.go
+++ b/internal/core/reader/reader_test.go
@@ -25,8 +25,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			b := Bounds{KeyAge: 5 * time.Second}
-			is.Equal(b.UsualWait(), 2500*time.Millisecond)
-			share := float64(b.nextWatchWait(View{InForce: true, Age: tt.age})) / float64(b.UsualWait())
+			is.Equal(b.DefaultWatchWait(), 2500*time.Millisecond)
+			share := float64(b.nextWatchWait(View{InForce: true, Age: tt.age})) / float64(b.DefaultWatchWait())
 			is.True(share >= tt.least && share <= tt.most)
 		})
 	}
--- a/internal/core/reader/recovery_test.go
+++ b/internal/core/reader/recovery_test.go
@@ -12,7 +12,7 @@
 // boundsWithin returns the bounds of a deployment whose configurations must be in force
 // within the given time.
 func boundsWithin(config time.Duration) Bounds {
-	return Bounds{KeyAge: 3800 * time.Millisecond, ListAge: config - 250*time.Millisecond, ConfigWithin: config}
+	return Bounds{KeyAge: 3800 * time.Millisecond, ListAge: config - 250*time.Millisecond, MaxConfigDelay: config}
 }
 
 // every returns the multiples of gap before the end.
@@ -160,7 +160,7 @@
 			outageRate := float64(w.callsIn(span{from, from + lasts})) / lasts.Seconds()
 			t.Logf("%.1f calls a second in the outage, %.1f before", outageRate, baseline)
 			is.True(outageRate <= 1+2*float64(tt.n)/tt.within.Seconds())
-			is.True(baseline <= 1/w.bounds.UsualWait().Seconds()+1/from.Seconds()) // one gateway reads for all
+			is.True(baseline <= 1/w.bounds.DefaultWatchWait().Seconds()+1/from.Seconds()) // one gateway reads for all
 		})
 	}
 }
--- a/internal/core/reader/simulation_test.go
+++ b/internal/core/reader/simulation_test.go
@@ -267,7 +267,7 @@
 		switch q.Kind {
 		case Pause:
 			w.schedule(m, incarnation, w.now.Add(q.Wait), func() { w.step(m, incarnation) })
-		case AskPeer:
+		case QueryPeer:
 			w.queryPeer(m, w.list[w.index[q.Address]], q)
 		case List:
 			w.queryStore(m, listLatency, listTimeout, func(sentAt time.Time) { w.listed(m, sentAt) })
@@ -302,7 +302,7 @@
 	}
 	w.queryStore(m, took+storeLatency, wait+watchSlack, func(sentAt time.Time) {
 		if gone {
-			m.reader.CannotFollow()
+			m.reader.HistoryCompacted()
 			return
 		}
 		w.watched(m, sentAt, wait, stalled && took > 0)
@@ -414,7 +414,7 @@
 }
 
 // queryPeer queries another gateway.
-func (w *simulation) queryPeer(m, to *member, q Question) {
+func (w *simulation) queryPeer(m, to *member, q Query) {
 	incarnation := m.incarnation
 	p := &poll{from: m, incarnation: incarnation, version: m.version, proof: m.proof, began: w.now}
 	failAfter := q.Timeout
@@ -428,7 +428,7 @@
 		p.done = true
 		m.reader.PeerFailed(m.known)
 		if m.known || !to.alive {
-			m.fleet.Down(w.now, to.address)
+			m.fleet.CallFailed(w.now, to.address)
 		}
 		w.step(m, incarnation)
 	})
@@ -487,9 +487,9 @@
 func (w *simulation) peerAnswered(m *member, address string, version int, proof time.Time, backoff time.Duration) {
 	m.reader.PeerAnswered(w.now)
 	if backoff > 0 {
-		m.fleet.BacksOff(w.now, address, backoff)
+		m.fleet.SetPeerBackoff(w.now, address, backoff)
 	}
-	m.reader.Told(version > m.version)
+	m.reader.PeerStateReceived(version > m.version)
 	m.known = true
 	w.learn(m, version)
 	if version >= m.version {
--- a/internal/core/reader/store_health.go
+++ b/internal/core/reader/store_health.go
@@ -7,9 +7,9 @@
 	// money, but a revoked key must be learned of in time.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 700 * time.Millisecond
-	// OutageAfter is the time without a successful call that counts as an outage, in
+	// OutageThreshold is the time without a successful call that counts as an outage, in
 	// which upstreams could not renew their entries.
-	OutageAfter = time.Second
+	OutageThreshold = time.Second
 )
 
 // storeHealth tracks the outcome of a gateway's calls to the store.
@@ -45,7 +45,7 @@
 	if !c.lost() {
 		return Loss{}
 	}
-	return Loss{Lost: true, After: now.Sub(c.failingSince), Outage: now.Sub(c.lastSuccess) > OutageAfter, FailedAt: c.lastFailure}
+	return Loss{Lost: true, After: now.Sub(c.failingSince), Outage: now.Sub(c.lastSuccess) > OutageThreshold, FailedAt: c.lastFailure}
 }
 
 // failed records a failed call and returns the longest pause before the next one.
--- a/internal/core/revision/revision.go
+++ b/internal/core/revision/revision.go
@@ -7,7 +7,7 @@
 // # Usage
 //
 //	h := revision.NewHolder()
-//	if h.Consider(manifest) == revision.Newer {
+//	if h.CheckManifest(manifest) == revision.Newer {
 //		verdict, faults := h.Apply(document)
 //	}
 package revision
@@ -78,8 +78,8 @@
 	}
 }
 
-// Consider checks a manifest before its shards are fetched.
-func (h *Holder) Consider(m *gladegaugev1.Manifest) Verdict {
+// CheckManifest checks a manifest before its shards are fetched.
+func (h *Holder) CheckManifest(m *gladegaugev1.Manifest) Verdict {
 	digest := config.ManifestDigest(m)
 	if h.rejected[digest] {
 		return Rejected
@@ -94,7 +94,7 @@
 
 // Apply puts a document into force if it is newer and has no faults.
 func (h *Holder) Apply(doc config.Document) (Verdict, config.Faults) {
-	if v := h.Consider(doc.Manifest); v != Newer {
+	if v := h.CheckManifest(doc.Manifest); v != Newer {
 		return v, nil
 	}
 	cfg, faults := config.Build(h.cfg, doc)
--- a/internal/core/roster/evacuation.go
+++ b/internal/core/roster/evacuation.go
@@ -12,8 +12,8 @@
 // Evacuate records that the availability zone is evacuated.
 func (r *Roster) Evacuate(zone string) { r.evacuated[zone] = noExpiry }
 
-// TakeBack records that the evacuation of the availability zone has ended.
-func (r *Roster) TakeBack(zone string) { delete(r.evacuated, zone) }
+// EndEvacuation records that the evacuation of the availability zone has ended.
+func (r *Roster) EndEvacuation(zone string) { delete(r.evacuated, zone) }
 
 // ReplaceEvacuated replaces the set of evacuated availability zones. Zones that a
 // restored copy of the store lacked are retained until they expire.
--- a/internal/core/roster/restore.go
+++ b/internal/core/roster/restore.go
@@ -10,13 +10,13 @@
 // age of a copy of the store.
 const tombstoneTTL = time.Minute
 
-// Return describes a restore of the store from a copy: writes after the copy was made are
-// lost until they are repeated.
-type Return struct {
+// StoreRestore describes a restore of the store from a copy: writes after the copy was
+// made are lost until they are repeated.
+type StoreRestore struct {
 	// After is the latest moment at which the store was known to be unavailable.
 	After time.Time
-	// Lapse is the time to live of an entry that its upstream does not renew.
-	Lapse time.Duration
+	// EntryTTL is the time to live of an entry that its upstream does not renew.
+	EntryTTL time.Duration
 }
 
 // removal is an upstream that was removed.
@@ -37,7 +37,7 @@
 // knowledge of an upstream takes precedence over the copy's entry for the same or an
 // earlier start: a leaving upstream is still leaving, a removed one still removed.
 // Entries and evacuations that the copy lacks are retained for a short time.
-func (r *Roster) Restore(now time.Time, restoration Return, list []balance.Instance, zones []string) {
+func (r *Roster) Restore(now time.Time, restoration StoreRestore, list []balance.Instance, zones []string) {
 	r.recoveredAt = restoration.After
 	r.expirySeen = true
 	r.resetCreationOrder()
@@ -49,7 +49,7 @@
 		}
 		in.Leaving = in.Leaving || listed && held.Leaving && !held.RestartedAs(in)
 		if tombstone, ok := r.tombstone[in.ID]; ok && !startedBefore(tombstone.Instance, in) {
-			r.unconfirmed[in.ID] = unconfirmed{in, now.Add(restoration.Lapse)}
+			r.unconfirmed[in.ID] = unconfirmed{in, now.Add(restoration.EntryTTL)}
 		}
 		current = append(current, in)
 	}
--- a/internal/core/roster/restore_test.go
+++ b/internal/core/roster/restore_test.go
@@ -25,7 +25,7 @@
 	// restore restores at 0 from a copy; the store was last known to be unavailable at
 	// -100 ms.
 	restore := func(r *Roster, list []balance.Instance) {
-		r.Restore(at(0), Return{After: at(-100), Lapse: ttl * time.Millisecond}, list, nil)
+		r.Restore(at(0), StoreRestore{After: at(-100), EntryTTL: ttl * time.Millisecond}, list, nil)
 	}
 	tests := []struct {
 		name string
@@ -124,22 +124,22 @@
 	r.Replace(now, []balance.Instance{{ID: "a"}, {ID: "b"}, {ID: "c"}})
 	r.Change(now, nil, []string{"c"})
 	r.Evacuate("z")
-	r.Restore(now, Return{After: now.Add(-time.Second), Lapse: 5 * time.Second}, []balance.Instance{{ID: "a"}, {ID: "c"}}, nil)
+	r.Restore(now, StoreRestore{After: now.Add(-time.Second), EntryTTL: 5 * time.Second}, []balance.Instance{{ID: "a"}, {ID: "c"}}, nil)
 	is.Equal(ids(r.Current(now)), "ab")
-	is.Equal(r.Lapsed(), 1)
-	is.Equal(r.Doubted(), 1)
+	is.Equal(r.Expired(), 1)
+	is.Equal(r.Unconfirmed(), 1)
 	for _, want := range []struct {
 		after     time.Duration
 		list      string
 		evacuated int
 	}{{1200 * time.Millisecond, "a", 0}, {5 * time.Second, "ac", 0}} {
-		end, ok := r.NextEnd()
+		end, ok := r.NextExpiry()
 		is.True(ok)
 		is.Equal(end.Sub(now), want.after)
 		is.Equal(ids(r.Current(end)), want.list)
 		is.Equal(len(r.Evacuated()), want.evacuated)
 	}
-	_, ok := r.NextEnd()
+	_, ok := r.NextExpiry()
 	is.True(!ok)
 }
 
@@ -158,14 +158,14 @@
 		{"listed again without it", func(r *Roster) { r.ReplaceEvacuated(nil) }, 2000, 1},
 		{"not written again", func(*Roster) {}, 2200, 0},
 		{"written again", func(r *Roster) { r.Evacuate("z") }, 9000, 1},
-		{"evacuation ended", func(r *Roster) { r.TakeBack("z") }, 10, 0},
+		{"evacuation ended", func(r *Roster) { r.EndEvacuation("z") }, 10, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			r := New()
 			r.Evacuate("z")
-			r.Restore(at(10), Return{After: at(0)}, nil, nil)
+			r.Restore(at(10), StoreRestore{After: at(0)}, nil, nil)
 			tt.after(r)
 			r.Current(at(tt.at))
 			is.Equal(len(r.Evacuated()), tt.want)
--- a/internal/core/roster/roster.go
+++ b/internal/core/roster/roster.go
@@ -19,7 +19,7 @@
 //	r.Replace(now, listed)
 //	r.Change(now, changed, removed)
 //	r.Recovered(lastFailure) // the store answers again after an outage
-//	r.Restore(now, roster.Return{After: lastFailure, Lapse: ttl}, listed, zones) // from a copy
+//	r.Restore(now, roster.StoreRestore{After: lastFailure, EntryTTL: ttl}, listed, zones) // from a copy
 //	r.Evacuate("zone-a")
 //	instances := r.Current(now)
 package roster
@@ -204,16 +204,16 @@
 	return list
 }
 
-// Lapsed returns the number of entries that are retained although they expired.
-func (r *Roster) Lapsed() int { return len(r.expired) }
+// Expired returns the number of entries that are retained although they expired.
+func (r *Roster) Expired() int { return len(r.expired) }
 
-// Doubted returns the number of upstreams that only a restored copy of the store lists.
-func (r *Roster) Doubted() int { return len(r.unconfirmed) }
+// Unconfirmed returns the number of upstreams that only a restored copy of the store lists.
+func (r *Roster) Unconfirmed() int { return len(r.unconfirmed) }
 
-// NextEnd returns when the list changes next without a message from the store: a retained
-// entry is removed, an unconfirmed one is confirmed, or an evacuation that a copy lacks
-// expires. It returns false if no such change is pending.
-func (r *Roster) NextEnd() (time.Time, bool) {
+// NextExpiry returns when the list changes next without a message from the store: a
+// retained entry is removed, an unconfirmed one is confirmed, or an evacuation that a
+// copy lacks expires. It returns false if no such change is pending.
+func (r *Roster) NextExpiry() (time.Time, bool) {
 	var first time.Time
 	earliest := func(end time.Time) {
 		if !end.IsZero() && (first.IsZero() || end.Before(first)) {
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -78,12 +78,12 @@
 		r.Recovered(at(10))
 		r.Replace(at(20), list)
 		is.Equal(ids(r.Current(at(1000))), want)
-		end, kept := r.NextEnd()
-		is.Equal(kept, r.Lapsed() > 0)
+		end, kept := r.NextExpiry()
+		is.Equal(kept, r.Expired() > 0)
 		if kept {
 			is.Equal(end, at(10).Add(recoveryWindow))
 			r.Current(end)
-			is.Equal(r.Lapsed(), 0)
+			is.Equal(r.Expired(), 0)
 		}
 	}
 	recreated := eight[1]
--- a/internal/core/warmup/warmup_test.go
+++ b/internal/core/warmup/warmup_test.go
@@ -60,7 +60,7 @@
 	for i, f := range list {
 		for j, other := range list {
 			if i != j && meet(i, j) {
-				f.Merge(t0, other.Share(t0, 1, uint64(i))[:1])
+				f.Merge(t0, other.Sample(t0, 1, uint64(i))[:1])
 			}
 		}
 	}
--- a/internal/edge/entryd/account.go
+++ b/internal/edge/entryd/account.go
@@ -30,7 +30,7 @@
 		first, whole := x.first.Sub(x.arrived), x.completed.Sub(x.arrived)
 		x.s.metrics.FirstToken.WithLabelValues(class.Name).Observe(first.Seconds())
 		x.s.metrics.Completion.WithLabelValues(class.Name).Observe(whole.Seconds())
-		if !class.Met(first, whole) || x.status >= http.StatusInternalServerError {
+		if !class.MeetsTargets(first, whole) || x.status >= http.StatusInternalServerError {
 			kind = burn.Miss
 		}
 	case dispatch.Abandoned:
--- a/internal/edge/gatewayd/apply.go
+++ b/internal/edge/gatewayd/apply.go
@@ -88,7 +88,7 @@
 		s.roster.Evacuate(zone)
 	}
 	for _, zone := range c.TakenBack {
-		s.roster.TakeBack(zone)
+		s.roster.EndEvacuation(zone)
 	}
 	s.logEvacuated(before)
 	s.applyRoster(now)
@@ -113,7 +113,7 @@
 	s.forgetLapsed(now)
 	if changes.Any() {
 		s.log.Info().Strs("came", changes.Came).Strs("went", changes.Went).Strs("leaving", changes.Leaving).Strs("cold", changes.Cold).Strs("restarted", changes.Restarted).
-			Int("upstreams", len(list)).Int("lapsed", s.roster.Lapsed()).Msg("upstreams: list changed")
+			Int("upstreams", len(list)).Int("lapsed", s.roster.Expired()).Msg("upstreams: list changed")
 	}
 }
 
@@ -146,7 +146,7 @@
 		s.lapseTimer.Stop()
 		s.lapseTimer = nil
 	}
-	if end, ok := s.roster.NextEnd(); ok {
+	if end, ok := s.roster.NextExpiry(); ok {
 		s.lapseTimer = time.AfterFunc(end.Sub(now), func() { s.control.Must(s.applyRoster) })
 	}
 }
--- a/internal/edge/gatewayd/follow.go
+++ b/internal/edge/gatewayd/follow.go
@@ -56,7 +56,7 @@
 	switch q := f.next(); q.Kind {
 	case reader.Pause:
 		loop.Pause(ctx, q.Wait)
-	case reader.AskPeer:
+	case reader.QueryPeer:
 		f.askPeer(ctx, q)
 	case reader.List:
 		f.list(ctx)
@@ -66,11 +66,11 @@
 }
 
 // next returns what to ask next.
-func (f *follower) next() reader.Question {
-	var q reader.Question
+func (f *follower) next() reader.Query {
+	var q reader.Query
 	f.server.control.Must(func(now time.Time) {
 		v, b := f.view(now), f.server.readerBounds()
-		if f.lateSince.IsZero() && b.Late(v) {
+		if f.lateSince.IsZero() && b.IsStale(v) {
 			f.lateSince = now
 			f.logKnown(f.server.log.Info()).Msg("view: too old to wait for others")
 		}
@@ -89,13 +89,13 @@
 // readerBounds returns the times in which this gateway has to know what the store holds.
 func (s *Server) readerBounds() reader.Bounds {
 	b := s.bounds.Load()
-	return reader.Bounds{KeyAge: b.KeyAge, ListAge: b.ListAge, ConfigWithin: b.DenyAge}
+	return reader.Bounds{KeyAge: b.KeyAge, ListAge: b.ListAge, MaxConfigDelay: b.DenyAge}
 }
 
 // late reports whether what is known is too old to wait for others.
 func (f *follower) late() bool {
 	var late bool
-	f.server.control.Must(func(now time.Time) { late = f.server.readerBounds().Late(f.view(now)) })
+	f.server.control.Must(func(now time.Time) { late = f.server.readerBounds().IsStale(f.view(now)) })
 	return late
 }
 
@@ -158,7 +158,7 @@
 	c, err := f.store.Watch(ctx, f.position, wait)
 	if changesGone(err) {
 		f.consistency = platform.Newest
-		f.reader.CannotFollow()
+		f.reader.HistoryCompacted()
 		f.logKnown(f.server.log.Info()).AnErr("cause", err).Msg("store: changes cannot be had, reading everything anew")
 		return
 	}
--- a/internal/edge/gatewayd/loads.go
+++ b/internal/edge/gatewayd/loads.go
@@ -27,23 +27,23 @@
 func (s *Server) tellLoop(ctx context.Context) error {
 	pause := occupancy.Every
 	for loop.Pause(ctx, pause) {
-		var duty fleet.Duty
+		var duty fleet.AggregationRole
 		var pace occupancy.Pace
 		s.control.Must(func(now time.Time) {
-			duty = s.fleet.Duty(now)
+			duty = s.fleet.AggregationRole(now)
 			pace = occupancy.PaceOf(s.fleet.ZoneSize(now), s.fleet.CellSize(now), s.table.Busy(now))
 			s.occupancy.Expect(pace)
 		})
 		switch {
-		case duty.To == "":
+		case duty.ReportTo == "":
 			pause = pace.Zones
 			s.tellRelays(ctx, pace.Zones)
-		case duty.Sums:
+		case duty.Aggregates:
 			pause = pace.Cells
-			s.tellZoneRelay(ctx, duty.To)
+			s.tellZoneRelay(ctx, duty.ReportTo)
 		default:
 			pause = pace.Members
-			s.tellRelay(ctx, duty.To)
+			s.tellRelay(ctx, duty.ReportTo)
 		}
 	}
 	return nil
@@ -140,7 +140,7 @@
 	resp, err := s.peer(address).TellLoads(ctx, connect.NewRequest(req))
 	s.metrics.peerCall("tell_loads", err)
 	if err != nil {
-		s.control.Must(func(now time.Time) { s.fleet.RelayDown(now, address) })
+		s.control.Must(func(now time.Time) { s.fleet.RelayFailed(now, address) })
 		return nil, false
 	}
 	return resp.Msg, true
@@ -209,7 +209,7 @@
 		}
 		witness := xxhash.Sum64String(from)
 		if n := int(req.Msg.GetGateways()); n > 1 && s.fleet.IsCellRelay(now, from) {
-			s.occupancy.TakeCell(now, from, loads, min(n, fleet.CellMost))
+			s.occupancy.TakeCell(now, from, loads, min(n, fleet.MaxCellSize))
 			witness = 0
 		} else {
 			s.occupancy.TakeMember(now, from, loads)
--- a/internal/edge/gatewayd/loads_test.go
+++ b/internal/edge/gatewayd/loads_test.go
@@ -135,7 +135,7 @@
 	p := startPeer(t, w.store)
 	const upstream, gone = 7, 5
 	var members []fleet.Member
-	for i := range 3 * fleet.CellMost {
+	for i := range 3 * fleet.MaxCellSize {
 		members = append(members, fleet.Member{Address: fmt.Sprint("10.0.0.", i, ":1"), Zone: "a", Start: 1, Beat: 1})
 	}
 	p.control.Must(func(now time.Time) { p.fleet.Merge(now, members) })
@@ -144,7 +144,7 @@
 		var speaks bool
 		p.control.Must(func(now time.Time) { speaks = p.fleet.IsCellRelay(now, m.Address) })
 		_, err := p.TellLoads(context.Background(), connect.NewRequest(&gladegaugev1.TellLoadsRequest{
-			Gateway: m.Address, Gateways: fleet.CellMost,
+			Gateway: m.Address, Gateways: fleet.MaxCellSize,
 			Loads: []*gladegaugev1.UpstreamLoad{{Upstream: upstream, Gone: gone}},
 		}))
 		w.is.NoErr(err)
--- a/internal/edge/gatewayd/outage.go
+++ b/internal/edge/gatewayd/outage.go
@@ -23,7 +23,7 @@
 func (s *Server) storeAnswered(now time.Time) {
 	s.fleet.StoreAnswered()
 	view := s.view.Load()
-	if view.Table != nil && s.storeFailedAt.After(view.NewestAt) && view.Age(now) > reader.OutageAfter {
+	if view.Table != nil && s.storeFailedAt.After(view.NewestAt) && view.Age(now) > reader.OutageThreshold {
 		s.roster.Recovered(s.storeFailedAt)
 	}
 }
@@ -32,7 +32,7 @@
 // control goroutine.
 func (s *Server) hearOfStore(now time.Time, address string, resp *gladegaugev1.FollowResponse) {
 	if ms := resp.GetBackoffMs(); ms > 0 {
-		s.fleet.BacksOff(now, address, time.Duration(ms)*time.Millisecond)
+		s.fleet.SetPeerBackoff(now, address, time.Duration(ms)*time.Millisecond)
 	}
 	if resp.FailedAgeMs == nil {
 		return
--- a/internal/edge/gatewayd/outage_test.go
+++ b/internal/edge/gatewayd/outage_test.go
@@ -153,7 +153,7 @@
 	f := &follower{server: w.server, reader: reader.New(time.Now()), position: feed.Position{Revision: 1}}
 	const held = 500 * time.Millisecond
 	ask := func() *uint32 {
-		f.askPeer(context.Background(), reader.Question{Address: server.Listener.Addr().String(), Wait: held, Timeout: time.Second})
+		f.askPeer(context.Background(), reader.Query{Address: server.Listener.Addr().String(), Wait: held, Timeout: time.Second})
 		return <-ages
 	}
 	parent.version, parent.held = 1, held
--- a/internal/edge/gatewayd/peers.go
+++ b/internal/edge/gatewayd/peers.go
@@ -53,13 +53,13 @@
 func (s *Server) exchangeLoop(ctx context.Context) error {
 	s.exchangeWithSeeds(ctx)
 	//nolint:gosec // Jitter needs no secret randomness.
-	if !loop.Pause(ctx, fleet.ExchangeEvery/4+rand.N(fleet.ExchangeEvery/4)) {
+	if !loop.Pause(ctx, fleet.ExchangeInterval/4+rand.N(fleet.ExchangeInterval/4)) {
 		return nil
 	}
 	s.exchangeWithSeeds(ctx)
 	for {
 		//nolint:gosec // Jitter needs no secret randomness.
-		if !loop.Pause(ctx, fleet.ExchangeEvery/2+rand.N(fleet.ExchangeEvery)) {
+		if !loop.Pause(ctx, fleet.ExchangeInterval/2+rand.N(fleet.ExchangeInterval)) {
 			return nil
 		}
 		if address, ok := s.partner(); ok {
@@ -82,7 +82,7 @@
 	var address string
 	var ok bool
 	s.control.Must(func(now time.Time) {
-		address, ok = s.fleet.Partner(now, rand.Uint64(), s.o.Settings.Seeds) //nolint:gosec // Any one will do.
+		address, ok = s.fleet.ExchangePeer(now, rand.Uint64(), s.o.Settings.Seeds) //nolint:gosec // Any one will do.
 	})
 	return address, ok
 }
@@ -105,7 +105,7 @@
 	s.metrics.peerCall("exchange", err)
 	s.control.Must(func(now time.Time) {
 		if err != nil {
-			s.fleet.Down(now, address)
+			s.fleet.CallFailed(now, address)
 			return
 		}
 		s.merge(now, resp.Msg.GetMembers())
@@ -115,7 +115,7 @@
 // share returns what the next message tells a gateway that knows so many. It runs in
 // the control goroutine.
 func (s *Server) share(now time.Time, known int) []*gladegaugev1.GatewayMember {
-	members := s.fleet.Share(now, known, rand.Uint64()) //nolint:gosec // A sample needs no secret randomness.
+	members := s.fleet.Sample(now, known, rand.Uint64()) //nolint:gosec // A sample needs no secret randomness.
 	list := make([]*gladegaugev1.GatewayMember, len(members))
 	for i, m := range members {
 		list[i] = encodeMember(m)
--- a/internal/edge/gatewayd/peers_test.go
+++ b/internal/edge/gatewayd/peers_test.go
@@ -366,14 +366,14 @@
 			s := New(&Options{Settings: platform.Settings{Bounds: b}, Log: zerolog.Nop()})
 			s.view.Store(&ingress.View{Table: &ingress.Table{}, NewestAt: now.Add(-tt.age)})
 			f := &follower{server: s, position: feed.Position{Revision: 1}, reader: reader.New(now)}
-			is.Equal(s.readerBounds().Late(f.view(now)), tt.late)
+			is.Equal(s.readerBounds().IsStale(f.view(now)), tt.late)
 			// No poll, answered or not, makes the view as old as a bound allows.
 			q := f.reader.Next(now, f.view(now), s.readerBounds(), fleetWithParent(now), 0)
-			is.True(tt.late || q.Kind == reader.AskPeer)
+			is.True(tt.late || q.Kind == reader.QueryPeer)
 			within := min(tt.drain, tt.config)
 			is.True(tt.late || within == 0 || tt.age+q.Timeout < within)
 			// What is usual is not late.
-			is.True(within == 0 || s.readerBounds().UsualWait()+pollWait < within)
+			is.True(within == 0 || s.readerBounds().DefaultWatchWait()+pollWait < within)
 		})
 	}
 }
--- a/internal/edge/gatewayd/restore.go
+++ b/internal/edge/gatewayd/restore.go
@@ -47,11 +47,11 @@
 	}
 	evacuated := s.roster.Evacuated()
 	s.roster.Drop(c.Unfit)
-	s.roster.Restore(now, roster.Return{After: after, Lapse: s.o.Settings.LapseWithin()}, c.Changed, c.Evacuated)
+	s.roster.Restore(now, roster.StoreRestore{After: after, EntryTTL: s.o.Settings.LapseWithin()}, c.Changed, c.Evacuated)
 	s.logEvacuated(evacuated)
 	s.applyRoster(now)
 	s.log.Warn().Int64("epoch", p.Epoch).Int64("revision", p.Revision).Int64("epoch_before", before.Epoch).Int64("revision_before", before.Revision).
-		Dur("away_since", now.Sub(after)).Int("lapsed", s.roster.Lapsed()).Int("doubted", s.roster.Doubted()).Msg("store: came back from a copy")
+		Dur("away_since", now.Sub(after)).Int("lapsed", s.roster.Expired()).Int("doubted", s.roster.Unconfirmed()).Msg("store: came back from a copy")
 }
 
 // written is a configuration, and the revision at which the store holds it.
--- a/internal/edge/gatewayd/restore_test.go
+++ b/internal/edge/gatewayd/restore_test.go
@@ -196,10 +196,10 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			f := &follower{server: w.server, reader: reader.New(time.Now()), position: known}
-			f.reader.CannotFollow()
+			f.reader.HistoryCompacted()
 			f.takeFrom(time.Now(), "parent", &gladegaugev1.FollowResponse{Epoch: tt.position.Epoch, Revision: tt.position.Revision})
-			is.Equal(f.reader.Unfollowed(), tt.unfollowed)
-			is.Equal(f.position, known.Furthest(tt.position))
+			is.Equal(f.reader.NeedsRelist(), tt.unfollowed)
+			is.Equal(f.position, known.Later(tt.position))
 		})
 	}
 }
--- a/internal/edge/gatewayd/server.go
+++ b/internal/edge/gatewayd/server.go
@@ -213,7 +213,7 @@
 func (s *Server) sweep(now time.Time) {
 	s.suspects.Sweep(now, s.metrics.suspects)
 	s.table.ForgetParts(now)
-	if end, ok := s.roster.NextEnd(); ok && !now.Before(end) {
+	if end, ok := s.roster.NextExpiry(); ok && !now.Before(end) {
 		// The timer goes off late after a suspension.
 		s.applyRoster(now)
 	}
--- a/internal/edge/gatewayd/source.go
+++ b/internal/edge/gatewayd/source.go
@@ -13,7 +13,7 @@
 )
 
 // askPeer asks another gateway for what it knows.
-func (f *follower) askPeer(ctx context.Context, q reader.Question) {
+func (f *follower) askPeer(ctx context.Context, q reader.Query) {
 	ctx, cancel := context.WithTimeout(ctx, q.Timeout)
 	defer cancel()
 	asked := f.server.now()
@@ -56,7 +56,7 @@
 	if !f.position.Known() && connect.CodeOf(err) == connect.CodeFailedPrecondition {
 		return
 	}
-	f.server.control.Must(func(now time.Time) { f.server.fleet.Down(now, address) })
+	f.server.control.Must(func(now time.Time) { f.server.fleet.CallFailed(now, address) })
 }
 
 // takeFrom brings another gateway's news into force. The answer was made at the
@@ -73,8 +73,8 @@
 	c := platform.DecodeEntries(entriesOf(f.server.now(), resp))
 	f.server.report(c.Faults)
 	behind := position.Before(f.position)
-	f.reader.Told(f.position.Before(position))
-	f.position = f.position.Furthest(position)
+	f.reader.PeerStateReceived(f.position.Before(position))
+	f.position = f.position.Later(position)
 	s := f.server
 	s.control.Must(func(now time.Time) {
 		if resp.GetOutage() {
--- a/internal/edge/gatewayd/turn_test.go
+++ b/internal/edge/gatewayd/turn_test.go
@@ -57,10 +57,10 @@
 	w.store.PutRawConfig([]byte("{"))
 	w.await(unread)
 	bounds := first.readerBounds()
-	late := time.Now().Add(2 * bounds.ConfigWithin)
+	late := time.Now().Add(2 * bounds.MaxConfigDelay)
 	w.await(func() bool { return time.Now().After(late) })
 	before := w.store.Calls()
-	end := time.Now().Add(2 * bounds.ConfigWithin)
+	end := time.Now().Add(2 * bounds.MaxConfigDelay)
 	w.await(func() bool { return time.Now().After(end) })
 	calls := w.store.Calls() - before
 	t.Logf("%d calls", calls)
--- a/internal/edge/spread/sync.go
+++ b/internal/edge/spread/sync.go
@@ -277,7 +277,7 @@
 // consider judges a manifest before its shards are fetched, and notes a
 // conflict. It runs in the control loop.
 func (s *Sync) consider(m *gladegaugev1.Manifest, from string) revision.Verdict {
-	verdict := s.holder.Consider(m)
+	verdict := s.holder.CheckManifest(m)
 	if verdict == revision.Conflict {
 		s.conflict(m.GetRevision(), from)
 	}
--- a/internal/session/summary.go
+++ b/internal/session/summary.go
@@ -63,7 +63,7 @@
 
 // onTime reports whether the request's answer met its target.
 func (r *request) onTime() bool {
-	return r.result == "completed" && r.class.Met(r.firstToken.Sub(r.arrived), r.ended.Sub(r.arrived))
+	return r.result == "completed" && r.class.MeetsTargets(r.firstToken.Sub(r.arrived), r.ended.Sub(r.arrived))
 }
 
 // useful reports whether the answer still mattered when it was complete.
