--- a/internal/core/fleet/relay_test.go
+++ b/internal/core/fleet/relay_test.go
@@ -9,50 +9,51 @@
 	"github.com/matryer/is"
 )
 
-// Every gateway of a zone tells a relay that sums up, and what it tells reaches the relay
-// of the zone; no relay sums up for many more than a cell, however large the zone is.
+// Every gateway of a zone reports to a relay that aggregates, and its reports reach the
+// relay of the zone. No relay aggregates for many more gateways than a cell holds,
+// regardless of the size of the zone.
 func TestDuties(t *testing.T) {
 	for _, n := range []int{1, 2, 32, 33, 76, 160, 400} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			is := is.New(t)
-			list := fleetOf(n, 1)
+			list := newFleets(n, 1)
 			var members []Member
 			for _, f := range list {
 				members = append(members, f.self)
 			}
-			duties := make(map[string]Duty)
+			duties := make(map[string]AggregationRole)
 			for _, f := range list {
 				f.Merge(t0, members)
-				duties[f.self.Address] = f.Duty(t0)
+				duties[f.self.Address] = f.AggregationRole(t0)
 			}
-			top, told := "", make(map[string]int)
+			top, reports := "", make(map[string]int)
 			for address, d := range duties {
-				told[d.To]++
-				if d.To == "" {
+				reports[d.ReportTo]++
+				if d.ReportTo == "" {
 					is.Equal(top, "")
-					is.True(d.Sums)
+					is.True(d.Aggregates)
 					top = address
 				}
-				is.Equal(d.Sums, list[0].IsCellRelay(t0, address))
+				is.Equal(d.Aggregates, list[0].IsCellRelay(t0, address))
 			}
 			relays := 0
 			for address, d := range duties {
-				if d.Sums {
+				if d.Aggregates {
 					relays++
-					is.True(d.To == "" || d.To == top)
+					is.True(d.ReportTo == "" || d.ReportTo == top)
 				} else {
-					is.True(duties[d.To].Sums)
+					is.True(duties[d.ReportTo].Aggregates)
 				}
-				is.True(told[address] <= 2*CellMost)
+				is.True(reports[address] <= 2*MaxCellSize)
 			}
 			is.Equal(relays, cells(n))
-			is.True(list[0].CellSize(t0) <= CellMost)
+			is.True(list[0].CellSize(t0) <= MaxCellSize)
 		})
 	}
 }
 
-// A gateway that is dead, and believed to live for minutes in a large fleet, is tried less
-// and less often; one whose beat rises is tried as soon as before.
+// A dead gateway, which counts as alive for minutes in a large fleet, is tried at growing
+// intervals; one whose heartbeat rises is tried after the initial backoff again.
 func TestDeadGatewaysAreTriedSeldom(t *testing.T) {
 	for _, n := range []int{30, 357, 800} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -75,7 +76,7 @@
 				f.Merge(now, members)
 				if relay, _ := f.Relay(now); relay == dead {
 					tries++
-					f.RelayDown(now, relay)
+					f.RelayFailed(now, relay)
 				}
 			}
 			is.True(tries <= 6)
@@ -83,8 +84,8 @@
 			back.Beat = 1000
 			now := t0.Add(time.Minute)
 			f.Merge(now, []Member{back})
-			f.RelayDown(now, dead)
-			relay, _ := f.Relay(now.Add(downFor))
+			f.RelayFailed(now, dead)
+			relay, _ := f.Relay(now.Add(callBackoff))
 			is.Equal(relay, dead)
 		})
 	}
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -143,7 +143,7 @@
 func (f *simFleet) settle(now time.Time) {
 	members := make([]fleet.Member, len(f.gateways))
 	for i, g := range f.gateways {
-		members[i] = g.fleet.Share(now, 1, 0)[0]
+		members[i] = g.fleet.Sample(now, 1, 0)[0]
 	}
 	for _, g := range f.gateways {
 		g.fleet.Merge(now, members)
@@ -157,8 +157,8 @@
 		return
 	}
 	g.fleet.Beat()
-	other.fleet.Merge(now, g.fleet.Share(now, other.fleet.Known(now), f.rng.Uint64()))
-	g.fleet.Merge(now, other.fleet.Share(now, g.fleet.Known(now), f.rng.Uint64()))
+	other.fleet.Merge(now, g.fleet.Sample(now, other.fleet.Known(now), f.rng.Uint64()))
+	g.fleet.Merge(now, other.fleet.Sample(now, g.fleet.Known(now), f.rng.Uint64()))
 	g.exchangedAt = now
 }
 
@@ -232,7 +232,7 @@
 	for now := from; now.Before(from.Add(length)); now = now.Add(step) {
 		before(now)
 		for _, g := range f.gateways {
-			if now.Sub(g.exchangedAt) > fleet.ExchangeEvery && f.rng.IntN(10+len(f.gateways)/2) == 0 {
+			if now.Sub(g.exchangedAt) > fleet.ExchangeInterval && f.rng.IntN(10+len(f.gateways)/2) == 0 {
 				f.exchange(now, g)
 			}
 			if now.Before(g.suspendedUntil) || now.Before(g.limitAt) || !g.isHolder(now, key, split.Holders) {
