--- a/internal/core/dispatch/effect.go
+++ b/internal/core/dispatch/effect.go
@@ -7,8 +7,8 @@
 	"github.com/gladegauge/gladegauge/internal/core/member"
 )
 
-// Effect is something that the owner of a Request carries out. It is one of
-// Offer, Claim, Recount, Withdraw and Finish.
+// Effect is an action that the owner of a Request must execute: an Offer, Claim,
+// Recount, Withdraw or Finish.
 type Effect interface{ effect() }
 
 // Offer opens an attempt at an agent.
@@ -18,26 +18,28 @@
 	Copies  int
 }
 
-// Claim starts the attempt at its agent, from the offset that the caller has.
+// Claim starts the attempt at its agent. The response resumes at Offset, the
+// length that the caller has received.
 type Claim struct {
 	Attempt int
 	Offset  int
-	// Incarnation is the one that granted the slot.
+	// Incarnation is the agent incarnation that granted the slot.
 	Incarnation string
 }
 
-// Recount tells the agent of an open offer how many agents hold one now.
+// Recount tells an agent with an open offer how many agents now hold an offer of
+// the request.
 type Recount struct {
 	Attempt int
 	Copies  int
 }
 
-// Withdraw ends the attempt; its later events no longer matter.
+// Withdraw cancels the attempt. Later events of the attempt are ignored.
 type Withdraw struct {
 	Attempt int
 }
 
-// Finish ends the request.
+// Finish reports the outcome of the request.
 type Finish struct {
 	Outcome Outcome
 }
@@ -53,22 +55,23 @@
 
 // Results of a request.
 const (
-	// Completed means that the caller has the whole answer.
+	// Completed means that the caller received the whole response.
 	Completed Result = iota + 1
-	// NotRun means that the request did not run and never will.
+	// NotRun means that the request did not run and will not run later.
 	NotRun
-	// Unknown means that the request may have run, and must not be repeated
-	// blindly.
+	// Unknown means that the request may have run, so a retry may run it twice.
 	Unknown
-	// Incomplete means that a repeatable request has only part of its answer.
+	// Incomplete means that the caller of a repeatable request may have received
+	// only part of the response.
 	Incomplete
-	// AlreadyRun means that the idempotency key was used before.
+	// AlreadyRun means that an earlier attempt or a request with the same
+	// idempotency key has run.
 	AlreadyRun
-	// Abandoned means that the caller left.
+	// Abandoned means that the caller disconnected.
 	Abandoned
 )
 
-// String returns the result as metrics and answers show it.
+// String returns the name of the result used in metrics and responses.
 func (r Result) String() string {
 	names := [...]string{
 		"none", "completed", "not_run", "outcome_unknown", "incomplete",
@@ -80,10 +83,10 @@
 	return names[r]
 }
 
-// Outcome is the end of a request.
+// Outcome is the final result of a request.
 type Outcome struct {
 	Result Result
-	// Reason says why the request was not run; 0 if no agent was left.
+	// Reason is the reason for NotRun, or 0 if no agent was available.
 	Reason     agent.Reason
 	RetryAfter time.Duration
 }
--- a/internal/core/dispatch/model_test.go
+++ b/internal/core/dispatch/model_test.go
@@ -14,12 +14,12 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// model is one entry and a few agents whose messages are reordered, doubled,
-// lost and delayed over pauses and restarts, as the test draws them.
+// model simulates one entry and several agents. Randomly drawn events reorder,
+// duplicate, drop and delay their messages, and pause and restart the agents.
 //
-// The invariants: a request that may not be repeated is started at most once
-// over all agents and all their lives; a request that was answered as not run
-// was never started and never will be; each request has at most one outcome.
+// Invariants: a non-repeatable request is started at most once across all agents
+// and their incarnations; a request reported as not run was never started and is
+// never started later; each request has at most one outcome.
 type model struct {
 	t        *rapid.T
 	now      time.Time
@@ -30,10 +30,10 @@
 }
 
 type modelAgent struct {
-	core  *agent.Agent
-	index int
-	life  int
-	runs  []string
+	core       *agent.Agent
+	index      int
+	generation int
+	runs       []string
 }
 
 type modelRequest struct {
@@ -42,16 +42,16 @@
 	core       *Request
 	starts     int
 	outcomes   []Result
-	lost       bool
+	entryDown  bool
 }
 
 func (m *model) boot(a *modelAgent) {
-	a.life++
+	a.generation++
 	a.runs = nil
-	a.core = agent.New(agent.Options{Incarnation: fmt.Sprintf("%d-%d", a.index, a.life), Slots: 2}, m.cfg)
+	a.core = agent.New(agent.Options{Incarnation: fmt.Sprintf("%d-%d", a.index, a.generation), Slots: 2}, m.cfg)
 }
 
-// send puts a message on the network.
+// send adds a message to the simulated network.
 func (m *model) send(do func()) { m.messages = append(m.messages, do) }
 
 func (m *model) request(n int) {
@@ -59,19 +59,19 @@
 	name := map[bool]string{true: "ruling", false: "registration"}[repeatable]
 	class, _ := m.cfg.Class(name)
 	r := &modelRequest{id: fmt.Sprint("r", n), repeatable: repeatable}
-	seams := Seams{
+	callbacks := Seams{
 		Pick: func(_ time.Time, q route.Request, n int) []member.Host {
 			return picker(len(m.agents))(m.now, q, n)
 		},
 		Spend: func() bool { return true },
 	}
-	r.core = New(Spec{Class: class, Arrived: m.now}, Options{}, seams)
+	r.core = New(Spec{Class: class, Arrived: m.now}, Options{}, callbacks)
 	m.requests = append(m.requests, r)
-	m.carryOut(r, r.core.Start(m.now))
+	m.execute(r, r.core.Start(m.now))
 }
 
-// carryOut turns the entry's effects into messages.
-func (m *model) carryOut(r *modelRequest, effects []Effect) {
+// execute converts the entry's effects into messages to agents.
+func (m *model) execute(r *modelRequest, effects []Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case Offer:
@@ -96,7 +96,7 @@
 	return m.agents[int(r.core.Agent(n).ID[1]-'1')]
 }
 
-// apply turns an agent's effects into messages and starts.
+// apply converts an agent's effects into messages to the entry and counts starts.
 func (m *model) apply(a *modelAgent, effects []agent.Effect) {
 	incarnation := a.core.Incarnation()
 	for _, effect := range effects {
@@ -130,18 +130,18 @@
 	return m.requests[n], k
 }
 
-// reply puts an agent's message to the entry on the network.
+// reply sends an agent's message to the entry over the simulated network.
 func (m *model) reply(attempt string, do func(r *modelRequest, n int) []Effect) {
 	r, n := m.find(attempt)
 	m.send(func() {
-		if !r.lost {
-			m.carryOut(r, do(r, n))
+		if !r.entryDown {
+			m.execute(r, do(r, n))
 		}
 	})
 }
 
-// disturb lets one thing happen, as the test draws it.
-func (m *model) disturb() {
+// randomEvent applies one randomly drawn event.
+func (m *model) randomEvent() {
 	switch rapid.IntRange(0, 11).Draw(m.t, "what") {
 	case 0, 1, 2, 3, 4:
 		m.deliver(false)
@@ -166,7 +166,8 @@
 	}
 }
 
-// deliver delivers one message, whichever; a doubled one stays on the network.
+// deliver delivers a randomly drawn message. With twice, the message also stays
+// on the network, to be delivered again.
 func (m *model) deliver(twice bool) {
 	if len(m.messages) == 0 {
 		return
@@ -179,7 +180,7 @@
 	do()
 }
 
-// finishOne lets an upstream complete, break off or never take a run.
+// finishOne lets an upstream complete a run or fail during it.
 func (m *model) finishOne() {
 	a := rapid.SampledFrom(m.agents).Draw(m.t, "ends at")
 	if len(a.runs) == 0 {
@@ -197,7 +198,8 @@
 	})
 }
 
-// restart ends an agent; the entry notices that its streams broke.
+// restart replaces an agent by a new incarnation. The entry observes that the
+// agent's streams failed.
 func (m *model) restart(a *modelAgent) {
 	m.boot(a)
 	for _, r := range m.requests {
@@ -209,32 +211,32 @@
 	}
 }
 
-// entryEvent lets time pass at the entry, a caller leave, or the entry die.
+// entryEvent draws a tick at the entry, a caller disconnect or an entry crash.
 func (m *model) entryEvent() {
 	r := rapid.SampledFrom(m.requests).Draw(m.t, "request")
-	if r.lost {
+	if r.entryDown {
 		return
 	}
 	switch rapid.IntRange(0, 4).Draw(m.t, "entry") {
 	case 0:
-		m.carryOut(r, r.core.HungUp())
+		m.execute(r, r.core.HungUp())
 	case 1:
-		r.lost = true
+		r.entryDown = true
 	default:
-		m.carryOut(r, r.core.Tick(m.now))
+		m.execute(r, r.core.Tick(m.now))
 	}
 }
 
 func (m *model) check() {
 	for _, r := range m.requests {
 		if !r.repeatable && r.starts > 1 {
-			m.t.Fatalf("%s may not be repeated and was started %d times", r.id, r.starts)
+			m.t.Fatalf("non-repeatable request %s was started %d times", r.id, r.starts)
 		}
 		if len(r.outcomes) > 1 {
-			m.t.Fatalf("%s has outcomes %v", r.id, r.outcomes)
+			m.t.Fatalf("request %s has more than one outcome: %v", r.id, r.outcomes)
 		}
 		if len(r.outcomes) == 1 && r.outcomes[0] == NotRun && r.starts > 0 {
-			m.t.Fatalf("%s was answered as not run and was started", r.id)
+			m.t.Fatalf("request %s was reported as not run but was started", r.id)
 		}
 	}
 }
@@ -271,7 +273,7 @@
 			m.request(i)
 		}
 		for range rapid.IntRange(10, 150).Draw(rt, "events") {
-			m.disturb()
+			m.randomEvent()
 			m.check()
 		}
 		for range 400 {
--- a/internal/core/dispatch/offers.go
+++ b/internal/core/dispatch/offers.go
@@ -7,15 +7,15 @@
 	"github.com/gladegauge/gladegauge/internal/core/route"
 )
 
-// phase is the state of one attempt.
+// phase is the state of an attempt.
 type phase int
 
 type attempt struct {
 	agent member.Host
 	phase phase
-	// incarnation is the one that granted the slot.
+	// incarnation is the agent incarnation that granted the slot.
 	incarnation string
-	// failed is true if the agent refused the attempt or was lost.
+	// failed is true if the agent refused the attempt or the connection was lost.
 	failed bool
 }
 
@@ -24,27 +24,28 @@
 	a.failed = true
 }
 
-// widen offers to up to n more agents; without any it ends the request.
-func (r *Request) widen(now time.Time, n int) []Effect {
+// offerMore offers the request to up to n more agents. It finishes the request if
+// there is no further agent and no open offer.
+func (r *Request) offerMore(now time.Time, n int) []Effect {
 	n = min(n, r.options.Offers-len(r.attempts))
 	var picks []member.Host
 	if n > 0 && !r.bound() {
-		picks = r.seams.Pick(now, route.Request{
+		picks = r.callbacks.Pick(now, route.Request{
 			Pool:    r.spec.Pool,
 			Tier:    r.spec.Class.Tier,
 			Prefix:  r.spec.Prefix,
 			Exclude: r.excluded(),
 		}, n)
 	}
-	if len(picks) == 0 && r.open() == 0 {
-		return r.exhausted()
+	if len(picks) == 0 && r.openOffers() == 0 {
+		return r.finishExhausted()
 	}
 	return r.offer(picks)
 }
 
 func (r *Request) offer(picks []member.Host) []Effect {
 	effects := make([]Effect, 0, len(picks))
-	copies := r.open() + len(picks)
+	copies := r.openOffers() + len(picks)
 	for _, host := range picks {
 		r.attempts = append(r.attempts, &attempt{agent: host, phase: offered})
 		effects = append(effects, Offer{
@@ -56,9 +57,9 @@
 	return effects
 }
 
-// excluded returns the agents that must not get another offer: those that
-// have one, and those that refused or were lost. One whose offer was withdrawn
-// may be asked again.
+// excluded returns the agents that must not receive another offer: those with an
+// open or claimed attempt, and those that refused or failed. An agent whose offer
+// was withdrawn may receive another one.
 func (r *Request) excluded() []string {
 	var ids []string
 	for _, a := range r.attempts {
@@ -69,8 +70,8 @@
 	return ids
 }
 
-// open returns the number of offers without an answer.
-func (r *Request) open() int {
+// openOffers returns the number of unanswered offers.
+func (r *Request) openOffers() int {
 	n := 0
 	for _, a := range r.attempts {
 		if a.phase == offered {
@@ -80,10 +81,10 @@
 	return n
 }
 
-// exhausted ends a request that no agent is left for.
-func (r *Request) exhausted() []Effect {
+// finishExhausted finishes a request for which no further agent is available.
+func (r *Request) finishExhausted() []Effect {
 	switch {
-	case !r.everRan:
+	case !r.mayHaveRun:
 		return r.finish(r.refusal)
 	case r.spec.Class.Repeatable:
 		return r.finish(Outcome{Result: Incomplete, RetryAfter: r.refusal.RetryAfter})
@@ -103,12 +104,12 @@
 	return effects
 }
 
-// unlessOpen ends the request if no offer is left without an answer. Agents
-// that still hold one learn how many they are.
-func (r *Request) unlessOpen() []Effect {
-	copies := r.open()
+// recountOrFinish finishes the request if no offer is open. Otherwise it tells the
+// agents with open offers how many of them remain.
+func (r *Request) recountOrFinish() []Effect {
+	copies := r.openOffers()
 	if copies == 0 {
-		return r.exhausted()
+		return r.finishExhausted()
 	}
 	var effects []Effect
 	for n, a := range r.attempts {
--- a/internal/core/dispatch/request.go
+++ b/internal/core/dispatch/request.go
@@ -9,26 +9,28 @@
 	"github.com/gladegauge/gladegauge/internal/core/route"
 )
 
-// Defaults of a request.
+// Defaults for Options, and the stall timeout.
 const (
-	// DefaultWidth is the number of agents that hold an offer at a time.
+	// DefaultWidth is the number of agents that receive an offer concurrently.
 	DefaultWidth = 2
-	// DefaultOffers bounds the offers of one request.
+	// DefaultOffers is the maximum number of offers per request.
 	DefaultOffers = 6
-	// DefaultResumes is how often a broken answer is continued elsewhere.
+	// DefaultResumes is the maximum number of times that an interrupted response is
+	// resumed on another agent.
 	DefaultResumes = 1
-	// StallAfter is the silence after which a claimed attempt is taken to be
-	// lost; agents with a run that makes no tokens send heartbeats.
+	// StallAfter is the time without any message after which a claimed attempt is
+	// considered lost. Agents send heartbeats while a run produces no tokens.
 	StallAfter = 4 * time.Second
 )
 
-// Options are the settings of all requests of an entry. Zero values take the
-// defaults.
+// Options are the settings shared by all requests of an entry. Zero values select
+// the defaults.
 type Options struct {
 	Width   int
 	Offers  int
 	Resumes int
-	// NoResume gives up on a broken answer; the baseline.
+	// NoResume disables resuming interrupted responses. It is the baseline in
+	// comparisons.
 	NoResume bool
 }
 
@@ -45,21 +47,22 @@
 	return o
 }
 
-// Spec is what the request asks for.
+// Spec describes the request to dispatch.
 type Spec struct {
 	Class   *config.Class
 	Pool    string
 	Arrived time.Time
 	Prefix  uint64
-	// Bound is the one agent an idempotency key belongs to, or zero.
+	// Bound is the agent that issued the request's idempotency key, or zero.
 	Bound member.Host
 }
 
-// Seams are what a request needs of its entry.
+// Seams are the functions of the entry that a request calls.
 type Seams struct {
-	// Pick returns agents to offer to, and counts the offers.
+	// Pick selects up to n agents for new offers and counts the offers.
 	Pick func(now time.Time, r route.Request, n int) []member.Host
-	// Spend takes one retry from the pool's budget.
+	// Spend takes one retry from the pool's retry budget. It returns false if the
+	// budget is exhausted.
 	Spend func() bool
 }
 
@@ -71,44 +74,44 @@
 
 // Request is one request in progress. It is not safe for concurrent use.
 type Request struct {
-	spec      Spec
-	options   Options
-	seams     Seams
-	attempts  []*attempt
-	running   int
-	everRan   bool
-	delivered int
-	resumes   int
-	fixed     bool
-	heardAt   time.Time
-	refusal   Outcome
-	done      bool
+	spec           Spec
+	options        Options
+	callbacks      Seams
+	attempts       []*attempt
+	runningAttempt int
+	mayHaveRun     bool
+	delivered      int
+	resumes        int
+	notEventStream bool
+	lastActivity   time.Time
+	refusal        Outcome
+	done           bool
 }
 
-// none is the number of no attempt.
-const none = -1
+// noAttempt is the value of runningAttempt while no attempt is claimed.
+const noAttempt = -1
 
-// New returns a request that was not offered yet.
+// New returns a request without offers.
 func New(spec Spec, o Options, s Seams) *Request {
 	return &Request{
-		spec:    spec,
-		options: o.withDefaults(),
-		seams:   s,
-		running: none,
-		refusal: Outcome{Result: NotRun},
+		spec:           spec,
+		options:        o.withDefaults(),
+		callbacks:      s,
+		runningAttempt: noAttempt,
+		refusal:        Outcome{Result: NotRun},
 	}
 }
 
-// bound reports whether the request belongs to one agent.
+// bound reports whether the request may run only on the agent of its key.
 func (r *Request) bound() bool { return r.spec.Bound.ID != "" }
 
-// Done reports whether the request has its outcome.
+// Done reports whether the request has finished.
 func (r *Request) Done() bool { return r.done }
 
 // Agent returns the agent of an attempt.
 func (r *Request) Agent(n int) member.Host { return r.attempts[n].agent }
 
-// Delivered returns the length of the answer that the caller has.
+// Delivered returns the length of the response that the caller has received.
 func (r *Request) Delivered() int { return r.delivered }
 
 // Start makes the first offers.
@@ -116,7 +119,7 @@
 	if r.bound() {
 		return r.offer([]member.Host{r.spec.Bound})
 	}
-	return r.widen(now, r.options.Width)
+	return r.offerMore(now, r.options.Width)
 }
 
 func (r *Request) finish(o Outcome) []Effect {
@@ -125,100 +128,103 @@
 	return append(effects, Finish{Outcome: o})
 }
 
-// live reports whether an event of the attempt still matters.
-func (r *Request) live(n int, p phase) bool {
+// inPhase reports whether the request is unfinished and attempt n is in phase p.
+func (r *Request) inPhase(n int, p phase) bool {
 	return !r.done && r.attempts[n].phase == p
 }
 
-// Granted claims the attempt and withdraws the others.
+// Granted handles the grant of a slot: it claims the attempt and withdraws the
+// others.
 func (r *Request) Granted(now time.Time, n int, incarnation string) []Effect {
-	if !r.live(n, offered) {
+	if !r.inPhase(n, offered) {
 		return nil
 	}
 	r.attempts[n].phase = closed
 	effects := r.withdrawAll()
 	r.attempts[n].phase = claimed
 	r.attempts[n].incarnation = incarnation
-	r.running = n
-	r.everRan = true
-	r.heardAt = now
+	r.runningAttempt = n
+	r.mayHaveRun = true
+	r.lastActivity = now
 	return append(effects, Claim{Attempt: n, Offset: r.delivered, Incarnation: incarnation})
 }
 
-// Refusal is an agent's word that an attempt did not run.
+// Refusal is an agent's statement that an attempt did not run.
 type Refusal struct {
 	Reason     agent.Reason
 	RetryAfter time.Duration
-	// Incarnation is the one that refused. After a claim only the incarnation
-	// that granted the slot can know that nothing ran.
+	// Incarnation is the agent incarnation that refused. After a claim, only the
+	// incarnation that granted the slot can know that nothing ran.
 	Incarnation string
 }
 
-// Refused takes a refusal. Another agent is tried unless the reason holds
-// everywhere.
+// Refused handles a refusal. It tries another agent unless the reason applies to
+// all agents.
 func (r *Request) Refused(now time.Time, n int, refusal Refusal) []Effect {
 	reason := refusal.Reason
 	switch {
-	case r.live(n, claimed) && refusal.Incarnation != r.attempts[n].incarnation:
+	case r.inPhase(n, claimed) && refusal.Incarnation != r.attempts[n].incarnation:
 		return r.Broken(now, n, false)
-	case r.live(n, claimed):
-		// The claim came too late, so nothing of this attempt ran.
+	case r.inPhase(n, claimed):
+		// The claim arrived too late, so this attempt did not run.
 		r.attempts[n].fail()
-		r.running = none
-		r.everRan = r.delivered > 0 || r.resumes > 0
-	case r.live(n, offered):
+		r.runningAttempt = noAttempt
+		r.mayHaveRun = r.delivered > 0 || r.resumes > 0
+	case r.inPhase(n, offered):
 		r.attempts[n].fail()
 	default:
 		return nil
 	}
-	r.noteRefusal(reason, refusal.RetryAfter)
+	r.recordRefusal(reason, refusal.RetryAfter)
 	if reason == agent.WrongIncarnation && r.bound() {
-		// The key's agent is gone, and with it the knowledge whether an earlier
-		// use of the key ran.
+		// The incarnation that issued the key is gone, so it is unknown whether
+		// an earlier request with the key ran.
 		return r.finish(Outcome{Result: Unknown})
 	}
 	if reason == agent.Expired || reason == agent.UnknownKey {
-		return r.exhausted()
+		return r.finishExhausted()
 	}
-	if reason == agent.Overload && (r.open() > 0 || len(r.attempts) > r.options.Width) {
-		return r.unlessOpen()
+	if reason == agent.Overload && (r.openOffers() > 0 || len(r.attempts) > r.options.Width) {
+		return r.recountOrFinish()
 	}
-	return r.widen(now, 1)
+	return r.offerMore(now, 1)
 }
 
-// noteRefusal keeps the reason and the earliest time to come back.
-func (r *Request) noteRefusal(reason agent.Reason, retryAfter time.Duration) {
+// recordRefusal stores the latest reason and the shortest retry delay.
+func (r *Request) recordRefusal(reason agent.Reason, retryAfter time.Duration) {
 	r.refusal.Reason = reason
 	if r.refusal.RetryAfter == 0 || (retryAfter > 0 && retryAfter < r.refusal.RetryAfter) {
 		r.refusal.RetryAfter = retryAfter
 	}
 }
 
-// Deliver tells that the caller has the answer up to an offset. It reports
-// whether the piece belongs to the answer; a piece of another attempt does not.
+// Deliver records that the caller has received the response up to offset end. It
+// returns false for data of an attempt other than the claimed one.
 func (r *Request) Deliver(now time.Time, n, end int) bool {
-	if !r.live(n, claimed) {
+	if !r.inPhase(n, claimed) {
 		return false
 	}
-	r.heardAt = now
+	r.lastActivity = now
 	r.delivered = max(r.delivered, end)
 	return true
 }
 
-// Fixed tells that the answer is not made of events: once a part of it was
-// delivered, the rest cannot come from another run, which may answer otherwise.
-func (r *Request) Fixed() { r.fixed = true }
+// Fixed records that the response is not an event stream. Once part of such a
+// response was delivered, it cannot be resumed from another run, whose response
+// may differ.
+func (r *Request) Fixed() { r.notEventStream = true }
 
-// Ended tells that the attempt's answer is complete.
+// Ended handles the end of a complete response.
 func (r *Request) Ended(n int) []Effect {
-	if !r.live(n, claimed) {
+	if !r.inPhase(n, claimed) {
 		return nil
 	}
 	r.attempts[n].phase = closed
 	return r.finish(Outcome{Result: Completed})
 }
 
-// AlreadyRun tells that a request with the same key or attempt ran before.
+// AlreadyRun handles the report that the attempt, or a request with the same
+// idempotency key, has run before.
 func (r *Request) AlreadyRun(n int) []Effect {
 	if r.done || r.attempts[n].phase == closed {
 		return nil
@@ -227,58 +233,60 @@
 	return r.finish(Outcome{Result: AlreadyRun})
 }
 
-// Broken tells that the attempt was lost: its agent or upstream cannot be
-// reached, or broke off. If notRun, the upstream certainly did not take it.
+// Broken handles the loss of an attempt: its agent or upstream is unreachable or
+// closed the connection early. notRun means that the upstream certainly did not
+// accept the request.
 func (r *Request) Broken(now time.Time, n int, notRun bool) []Effect {
 	switch {
-	case r.live(n, offered):
+	case r.inPhase(n, offered):
 		r.attempts[n].fail()
 		return r.afterLostOffer(now)
-	case r.live(n, claimed):
+	case r.inPhase(n, claimed):
 		r.attempts[n].fail()
-		r.running = none
+		r.runningAttempt = noAttempt
 		return r.afterLostRun(now, notRun)
 	default:
 		return nil
 	}
 }
 
-// afterLostOffer tries another agent; nothing ran, so this costs no upstream
-// any work.
+// afterLostOffer tries another agent if no offer is open. It spends no retry
+// budget, since nothing ran at an upstream.
 func (r *Request) afterLostOffer(now time.Time) []Effect {
-	if r.open() > 0 {
+	if r.openOffers() > 0 {
 		return nil
 	}
 	if r.bound() {
 		return r.finish(Outcome{Result: Unknown})
 	}
-	return r.widen(now, 1)
+	return r.offerMore(now, 1)
 }
 
 func (r *Request) afterLostRun(now time.Time, notRun bool) []Effect {
 	if notRun {
-		r.everRan = r.delivered > 0 || r.resumes > 0
+		r.mayHaveRun = r.delivered > 0 || r.resumes > 0
 	}
-	if notRun && !r.everRan {
-		if !r.seams.Spend() {
+	if notRun && !r.mayHaveRun {
+		if !r.callbacks.Spend() {
 			return r.finish(Outcome{Result: NotRun, Reason: agent.UpstreamDown, RetryAfter: time.Second})
 		}
-		return r.widen(now, r.options.Width)
+		return r.offerMore(now, r.options.Width)
 	}
 	if !r.spec.Class.Repeatable {
 		return r.finish(Outcome{Result: Unknown})
 	}
-	if (r.fixed && r.delivered > 0) || r.resumes >= r.options.Resumes || !r.seams.Spend() {
+	if (r.notEventStream && r.delivered > 0) || r.resumes >= r.options.Resumes || !r.callbacks.Spend() {
 		return r.finish(Outcome{Result: Incomplete, RetryAfter: time.Second})
 	}
 	r.resumes++
-	return r.widen(now, r.options.Width)
+	return r.offerMore(now, r.options.Width)
 }
 
-// RunOnce ends the resumes: each further run may end another upstream.
+// RunOnce disables further resumes, for a request whose runs may crash their
+// upstreams.
 func (r *Request) RunOnce() { r.options.Resumes = 0 }
 
-// HungUp tells that the caller left: what waits or runs is cancelled.
+// HungUp handles a disconnect of the caller: it cancels all attempts.
 func (r *Request) HungUp() []Effect {
 	if r.done {
 		return nil
@@ -286,20 +294,20 @@
 	return r.finish(Outcome{Result: Abandoned})
 }
 
-// Tick lets time pass: a claimed attempt that fell silent is taken to be lost.
+// Tick checks the claimed attempt for a stall.
 func (r *Request) Tick(now time.Time) []Effect {
 	if r.done {
 		return nil
 	}
-	if r.running == none {
+	if r.runningAttempt == noAttempt {
 		return nil
 	}
 	return r.checkStall(now)
 }
 
 func (r *Request) checkStall(now time.Time) []Effect {
-	n := r.running
-	if now.Sub(r.heardAt) < StallAfter {
+	n := r.runningAttempt
+	if now.Sub(r.lastActivity) < StallAfter {
 		return nil
 	}
 	effects := []Effect{Withdraw{Attempt: n}}
--- a/internal/core/dispatch/request_test.go
+++ b/internal/core/dispatch/request_test.go
@@ -16,7 +16,8 @@
 
 var t0 = time.Unix(1_800_000_000, 0)
 
-// picker returns hosts h1, h2, … that are not excluded.
+// picker returns a Pick function that selects the first hosts of h1, h2, … that
+// are not excluded.
 func picker(hosts int) func(time.Time, route.Request, int) []member.Host {
 	return func(_ time.Time, r route.Request, n int) []member.Host {
 		var picks []member.Host
@@ -30,7 +31,7 @@
 	}
 }
 
-func show(effects []Effect) string {
+func formatEffects(effects []Effect) string {
 	var words []string
 	for _, effect := range effects {
 		switch e := effect.(type) {
@@ -88,56 +89,56 @@
 		budget     int
 		steps      []step
 	}{
-		{"the first grant runs, the other is withdrawn", false, 3, 9, []step{
+		{"first grant is claimed and the other offer withdrawn", false, 3, 9, []step{
 			{grants(1), "withdraw 0, claim 1 at 0"},
 			{grants(0), ""},
 			{ends(1), "finish completed"},
 			{ends(1), ""},
 		}},
-		{"refused by both, then by a third", true, 4, 9, []step{
+		{"both agents refuse, then a third one", true, 4, 9, []step{
 			{refuses(0, agent.Overload), "recount 1 1"},
 			{refuses(1, agent.Overload), "offer 2 h3"},
 			{refuses(2, agent.Overload), "finish not_run"},
 		}},
-		{"too late is too late everywhere", true, 4, 9, []step{
+		{"expired request is not offered to other agents", true, 4, 9, []step{
 			{refuses(0, agent.Expired), "withdraw 1, finish not_run"},
 		}},
-		{"leaving agents are passed over", true, 3, 9, []step{
+		{"leaving agents are replaced", true, 3, 9, []step{
 			{refuses(0, agent.Leaving), "offer 2 h3"},
 			{refuses(1, agent.Leaving), ""},
 			{grants(2), "claim 2 at 0"},
 		}},
-		{"lost before the claim is not run", false, 2, 9, []step{
+		{"loss before the claim means not run", false, 2, 9, []step{
 			{breaks(0, false), ""},
 			{breaks(1, false), "finish not_run"},
 		}},
-		{"lost after the claim is unknown", false, 3, 9, []step{
+		{"loss after the claim means outcome unknown", false, 3, 9, []step{
 			{grants(0), "withdraw 1, claim 0 at 0"},
 			{breaks(0, false), "finish outcome_unknown"},
 			{grants(1), ""},
 		}},
-		{"never taken by the upstream is tried again", false, 3, 9, []step{
+		{"retry after the upstream did not accept the request", false, 3, 9, []step{
 			{grants(0), "withdraw 1, claim 0 at 0"},
 			{breaks(0, true), "offer 2 h2, offer 3 h3"},
 			{grants(3), "withdraw 2, claim 3 at 0"},
 		}},
-		{"never taken, without budget", false, 3, 0, []step{
+		{"no retry without budget", false, 3, 0, []step{
 			{grants(0), "withdraw 1, claim 0 at 0"},
 			{breaks(0, true), "finish not_run"},
 		}},
-		{"a claim that came too late did not run", false, 3, 9, []step{
+		{"late claim did not run", false, 3, 9, []step{
 			{grants(0), "withdraw 1, claim 0 at 0"},
 			{refuses(0, agent.Stale), "offer 2 h2"},
 			{grants(2), "claim 2 at 0"},
 			{breaks(2, false), "finish outcome_unknown"},
 		}},
-		{"only the incarnation that granted can say that nothing ran", false, 3, 9, []step{
+		{"refusal of a claim by another incarnation means outcome unknown", false, 3, 9, []step{
 			{grants(0), "withdraw 1, claim 0 at 0"},
 			{func(r *Request) []Effect {
 				return r.Refused(t0, 0, Refusal{Reason: agent.WrongIncarnation, Incarnation: "next"})
 			}, "finish outcome_unknown"},
 		}},
-		{"a broken stream goes on elsewhere, once", true, 4, 9, []step{
+		{"interrupted stream is resumed once", true, 4, 9, []step{
 			{grants(0), "withdraw 1, claim 0 at 0"},
 			{delivers(0, 7), ""},
 			{breaks(0, false), "offer 2 h2, offer 3 h3"},
@@ -145,7 +146,7 @@
 			{delivers(0, 99), ""},
 			{breaks(2, false), "finish incomplete"},
 		}},
-		{"a body that is not made of events is not joined from two runs", true, 4, 9, []step{
+		{"response that is not an event stream restarts from offset zero", true, 4, 9, []step{
 			{grants(0), "withdraw 1, claim 0 at 0"},
 			{func(r *Request) []Effect { r.Fixed(); return nil }, ""},
 			{breaks(0, false), "offer 2 h2, offer 3 h3"},
@@ -153,27 +154,27 @@
 			{delivers(2, 16384), ""},
 			{breaks(2, false), "finish incomplete"},
 		}},
-		{"a body in part is incomplete at once", true, 4, 9, []step{
+		{"partly delivered response that is not an event stream is incomplete", true, 4, 9, []step{
 			{grants(0), "withdraw 1, claim 0 at 0"},
 			{func(r *Request) []Effect { r.Fixed(); return nil }, ""},
 			{delivers(0, 16384), ""},
 			{breaks(0, false), "finish incomplete"},
 		}},
-		{"no budget, no resumption", true, 4, 0, []step{
+		{"no resume without budget", true, 4, 0, []step{
 			{grants(0), "withdraw 1, claim 0 at 0"},
 			{breaks(0, false), "finish incomplete"},
 		}},
-		{"silence after the claim", true, 3, 9, []step{
+		{"stall after the claim", true, 3, 9, []step{
 			{grants(0), "withdraw 1, claim 0 at 0"},
 			{ticks(StallAfter - 1), ""},
 			{ticks(StallAfter), "withdraw 0, offer 2 h2, offer 3 h3"},
 		}},
-		{"the caller leaves", true, 3, 9, []step{
+		{"caller disconnects", true, 3, 9, []step{
 			{grants(0), "withdraw 1, claim 0 at 0"},
 			{func(r *Request) []Effect { return r.HungUp() }, "withdraw 0, finish abandoned"},
 			{ends(0), ""},
 		}},
-		{"run before with the same key", false, 3, 9, []step{
+		{"idempotency key was already used", false, 3, 9, []step{
 			{func(r *Request) []Effect { return r.AlreadyRun(0) }, "withdraw 1, finish already_run"},
 		}},
 	}
@@ -181,12 +182,12 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			budget := tt.budget
-			seams := Seams{Pick: picker(tt.hosts), Spend: func() bool { budget--; return budget >= 0 }}
+			callbacks := Seams{Pick: picker(tt.hosts), Spend: func() bool { budget--; return budget >= 0 }}
 			class := &config.Class{Name: "c", Tier: 1, Repeatable: tt.repeatable, FirstToken: time.Second}
-			r := New(Spec{Class: class, Pool: "p", Arrived: t0}, Options{}, seams)
-			is.Equal(show(r.Start(t0)), "offer 0 h1, offer 1 h2")
+			r := New(Spec{Class: class, Pool: "p", Arrived: t0}, Options{}, callbacks)
+			is.Equal(formatEffects(r.Start(t0)), "offer 0 h1, offer 1 h2")
 			for _, s := range tt.steps {
-				is.Equal(show(s.do(r)), s.want)
+				is.Equal(formatEffects(s.do(r)), s.want)
 			}
 		})
 	}
@@ -198,9 +199,9 @@
 		do   func(r *Request) []Effect
 		want string
 	}{
-		{"its agent was replaced", refuses(0, agent.WrongIncarnation), "finish outcome_unknown"},
-		{"its agent is gone", breaks(0, false), "finish outcome_unknown"},
-		{"its agent is full", refuses(0, agent.Overload), "finish not_run"},
+		{"agent was replaced", refuses(0, agent.WrongIncarnation), "finish outcome_unknown"},
+		{"agent is unreachable", breaks(0, false), "finish outcome_unknown"},
+		{"agent is overloaded", refuses(0, agent.Overload), "finish not_run"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -208,8 +209,8 @@
 			class := &config.Class{Name: "c", Tier: 1, FirstToken: time.Second}
 			spec := Spec{Class: class, Arrived: t0, Bound: member.Host{ID: "h9"}}
 			r := New(spec, Options{}, Seams{Pick: picker(3), Spend: func() bool { return true }})
-			is.Equal(show(r.Start(t0)), "offer 0 h9")
-			is.Equal(show(tt.do(r)), tt.want)
+			is.Equal(formatEffects(r.Start(t0)), "offer 0 h9")
+			is.Equal(formatEffects(tt.do(r)), tt.want)
 		})
 	}
 }
