--- a/internal/core/queue/account.go
+++ b/internal/core/queue/account.go
@@ -2,40 +2,40 @@
 
 import "container/list"
 
-// lane numbers: requests with part of their answer made, requests that can
-// meet their target, and late ones.
+// Lanes of an account: preempted requests with a partial response, requests that
+// can still meet their latency target, and requests that have missed it.
 const (
 	resumed = iota
-	fresh
+	onTime
 	late
 	lanes
 )
 
-// account is one organisation's turn within a class. Its pass is the virtual
-// time of fair queueing: tokens charged, over weight.
+// account is the fair-queueing state of one organisation within a class. Its pass
+// is the organisation's virtual time: the tokens charged, divided by the weight.
 type account struct {
 	name    string
 	weight  float64
 	pass    float64
 	waiting int
 	items   [lanes]list.List
-	place   [lanes]int
-	// ahead is the place in the heap of those furthest ahead.
-	ahead int
+	index   [lanes]int
+	// finishTagIndex is the account's index in classQueue.byFinishTag.
+	finishTagIndex int
 }
 
 func newAccount(name string, weight, pass float64) *account {
 	return &account{
-		name:   name,
-		weight: weight,
-		pass:   pass,
-		place:  [lanes]int{outside, outside, outside},
-		ahead:  outside,
+		name:           name,
+		weight:         weight,
+		pass:           pass,
+		index:          [lanes]int{notInHeap, notInHeap, notInHeap},
+		finishTagIndex: notInHeap,
 	}
 }
 
-// tag is where the organisation's turn will be when n more requests than it
-// has waiting have run, at unit tokens each.
-func (a *account) tag(n int, unit float64) float64 {
-	return a.pass + float64(a.waiting+n)*unit/a.weight
+// finishTag returns the organisation's pass after all its waiting requests and n
+// more have run, at tokensPerRequest tokens each.
+func (a *account) finishTag(n int, tokensPerRequest float64) float64 {
+	return a.pass + float64(a.waiting+n)*tokensPerRequest/a.weight
 }
--- a/internal/core/queue/class.go
+++ b/internal/core/queue/class.go
@@ -6,64 +6,70 @@
 	"github.com/gladegauge/gladegauge/internal/core/config"
 )
 
-// lateEvery is how many requests of a class run on time for each late one.
-const lateEvery = 16
+// lateInterval is the interval, in pops of a class, at which a late request runs
+// although requests on time are waiting.
+const lateInterval = 16
 
-// sweepEvery is how many pops pass between two sweeps of idle accounts.
-const sweepEvery = 1024
+// sweepInterval is the number of pops between two sweeps of idle accounts.
+const sweepInterval = 1024
 
-// maxBehind is how far an organisation's turn can be behind, in answers.
-const maxBehind = 4
+// maxLag is the maximum lag of an organisation's pass behind the virtual time of
+// its class, in requests.
+const maxLag = 4
 
-// minWeight keeps a faulty weight from stopping the turns.
+// minWeight is the lower bound of weights. An invalid weight, such as zero, would
+// otherwise stop the rotation of organisations.
 const minWeight = 1e-6
 
-// longQuantile is the share of answers that are not longer than what is called
-// long, and firstLong is its first guess, in means.
+// tailQuantile is the quantile of response lengths that tailTokens estimates, and
+// initialTailFactor its initial estimate, as a multiple of the expected tokens.
 const (
-	longQuantile = 0.95
-	firstLong    = 3
+	tailQuantile      = 0.95
+	initialTailFactor = 3
 )
 
-// classQueue holds the waiting requests of one class.
+// classQueue holds the waiting requests of one class. vtime is the virtual time of
+// fair queueing, and credit the unused tokens of the class's floor share.
 type classQueue struct {
-	class    *config.Class
-	accounts map[string]*account
-	lanes    [lanes]indexed[*account]
-	furthest indexed[*account]
-	byAge    indexed[*Item]
-	vtime    float64
-	credit   float64
-	// share is the number of requests that are expected to run here, when each
-	// runs at one of the agents that hold it.
-	share float64
-	// cost is the learnt mean of tokens of one answer.
-	cost float64
-	// long is the learnt quantile longQuantile of the tokens of one answer.
-	long float64
-	pops int
+	class       *config.Class
+	accounts    map[string]*account
+	lanes       [lanes]indexedHeap[*account]
+	byFinishTag indexedHeap[*account]
+	byArrival   indexedHeap[*Item]
+	vtime       float64
+	credit      float64
+	// expectedRuns is the expected number of waiting requests that will run at this
+	// agent. Each request runs at only one of the agents that hold it.
+	expectedRuns float64
+	// meanTokens is a moving average of the tokens per response.
+	meanTokens float64
+	// tailTokens is an estimate of the tailQuantile of the tokens per response.
+	tailTokens float64
+	pops       int
 }
 
 func newClassQueue(c *config.Class) *classQueue {
 	cq := &classQueue{
-		class:    c,
-		accounts: make(map[string]*account),
-		cost:     float64(c.ExpectedTokens),
-		long:     firstLong * float64(c.ExpectedTokens),
+		class:      c,
+		accounts:   make(map[string]*account),
+		meanTokens: float64(c.ExpectedTokens),
+		tailTokens: initialTailFactor * float64(c.ExpectedTokens),
 	}
 	for i := range cq.lanes {
-		cq.lanes[i] = indexed[*account]{
+		cq.lanes[i] = indexedHeap[*account]{
 			less:  func(a, b *account) bool { return a.pass < b.pass },
-			place: func(a *account, n int) { a.place[i] = n },
+			index: func(a *account, n int) { a.index[i] = n },
 		}
 	}
-	cq.byAge = indexed[*Item]{
+	cq.byArrival = indexedHeap[*Item]{
 		less:  earlier,
-		place: func(it *Item, n int) { it.age = n },
+		index: func(it *Item, n int) { it.arrivalIndex = n },
 	}
-	cq.furthest = indexed[*account]{
-		less:  func(a, b *account) bool { return a.tag(0, cq.unit()) > b.tag(0, cq.unit()) },
-		place: func(a *account, n int) { a.ahead = n },
+	cq.byFinishTag = indexedHeap[*account]{
+		less: func(a, b *account) bool {
+			return a.finishTag(0, cq.tokensPerRequest()) > b.finishTag(0, cq.tokensPerRequest())
+		},
+		index: func(a *account, n int) { a.finishTagIndex = n },
 	}
 	return cq
 }
@@ -76,50 +82,49 @@
 	return a.ID < b.ID
 }
 
-func (cq *classQueue) len() int { return cq.byAge.len() }
+func (cq *classQueue) len() int { return cq.byArrival.len() }
 
-// account returns the organisation's account. One that comes back, or was
-// refused, is behind the others by what it missed, but by a few answers at
-// most.
+// account returns the organisation's account. An organisation that was idle, or
+// whose requests were refused, keeps its lag behind the others up to maxLag.
 func (cq *classQueue) account(name string, weight float64) *account {
 	weight = max(weight, minWeight)
 	a, ok := cq.accounts[name]
 	if !ok {
-		a = newAccount(name, weight, cq.behind(weight))
+		a = newAccount(name, weight, cq.minPass(weight))
 		cq.accounts[name] = a
 	}
 	a.weight = weight
 	if a.waiting == 0 {
-		a.pass = max(a.pass, cq.behind(weight))
+		a.pass = max(a.pass, cq.minPass(weight))
 	}
 	return a
 }
 
-// behind is the furthest that a turn of the weight can be behind.
-func (cq *classQueue) behind(weight float64) float64 {
-	return cq.vtime - maxBehind*cq.unit()/weight
+// minPass returns the smallest pass of an account with the given weight.
+func (cq *classQueue) minPass(weight float64) float64 {
+	return cq.vtime - maxLag*cq.tokensPerRequest()/weight
 }
 
 func (cq *classQueue) push(it *Item, front bool) {
 	a := cq.account(it.Organisation, it.Weight)
 	it.owner = a
 	a.waiting++
-	cq.share += it.share()
-	cq.byAge.push(it)
-	cq.enter(it, front)
-	cq.fixFurthest(a)
+	cq.expectedRuns += it.expectedRuns()
+	cq.byArrival.push(it)
+	cq.addToLane(it, front)
+	cq.fixFinishTag(a)
 }
 
-// enter puts the item into the lane that it.late names.
-func (cq *classQueue) enter(it *Item, front bool) {
+// addToLane adds the item to its lane, at the front or the back.
+func (cq *classQueue) addToLane(it *Item, front bool) {
 	lane := laneOf(it)
 	items := &it.owner.items[lane]
 	if front {
-		it.turn = items.PushFront(it)
+		it.element = items.PushFront(it)
 	} else {
-		it.turn = items.PushBack(it)
+		it.element = items.PushBack(it)
 	}
-	if it.owner.place[lane] == outside {
+	if it.owner.index[lane] == notInHeap {
 		cq.lanes[lane].push(it.owner)
 	}
 }
@@ -131,45 +136,45 @@
 	case it.late:
 		return late
 	default:
-		return fresh
+		return onTime
 	}
 }
 
-// leave takes the item out of its lane.
-func (cq *classQueue) leave(it *Item) {
+// removeFromLane removes the item from its lane.
+func (cq *classQueue) removeFromLane(it *Item) {
 	lane := laneOf(it)
-	it.owner.items[lane].Remove(it.turn)
+	it.owner.items[lane].Remove(it.element)
 	if it.owner.items[lane].Len() == 0 {
-		cq.lanes[lane].remove(it.owner.place[lane])
+		cq.lanes[lane].remove(it.owner.index[lane])
 	}
 }
 
 func (cq *classQueue) remove(it *Item) {
-	cq.leave(it)
-	cq.byAge.remove(it.age)
-	cq.share -= it.share()
+	cq.removeFromLane(it)
+	cq.byArrival.remove(it.arrivalIndex)
+	cq.expectedRuns -= it.expectedRuns()
 	if cq.len() == 0 {
-		cq.share = 0
+		cq.expectedRuns = 0
 	}
 	it.owner.waiting--
-	cq.fixFurthest(it.owner)
+	cq.fixFinishTag(it.owner)
 }
 
-// unit is the tokens that a waiting request counts for in tags.
-func (cq *classQueue) unit() float64 { return float64(cq.class.ExpectedTokens) }
+// tokensPerRequest returns the estimated tokens of a request in finish tags.
+func (cq *classQueue) tokensPerRequest() float64 { return float64(cq.class.ExpectedTokens) }
 
-func (cq *classQueue) fixFurthest(a *account) {
+func (cq *classQueue) fixFinishTag(a *account) {
 	switch {
-	case a.waiting == 0 && a.ahead != outside:
-		cq.furthest.remove(a.ahead)
-	case a.waiting > 0 && a.ahead == outside:
-		cq.furthest.push(a)
+	case a.waiting == 0 && a.finishTagIndex != notInHeap:
+		cq.byFinishTag.remove(a.finishTagIndex)
+	case a.waiting > 0 && a.finishTagIndex == notInHeap:
+		cq.byFinishTag.push(a)
 	case a.waiting > 0:
-		cq.furthest.fix(a.ahead)
+		cq.byFinishTag.fix(a.finishTagIndex)
 	}
 }
 
-// head returns the request that is next in the class.
+// head returns the next request of the class, or nil if none waits.
 func (cq *classQueue) head(now time.Time) *Item {
 	cq.moveLate(now)
 	lane := cq.nextLane()
@@ -179,51 +184,52 @@
 	return cq.lanes[lane].first().items[lane].Front().Value.(*Item)
 }
 
-// nextLane prefers answers that were begun, since giving them up wastes what
-// was made, then requests that can be on time; late ones get a turn now and
-// then.
+// nextLane prefers preempted requests, since abandoning them wastes the tokens
+// already produced, and then requests that can meet their target. Late requests
+// run once in lateInterval pops, or if no other request waits.
 func (cq *classQueue) nextLane() int {
 	switch {
 	case cq.lanes[resumed].len() > 0:
 		return resumed
-	case cq.lanes[fresh].len() == 0:
+	case cq.lanes[onTime].len() == 0:
 		return late
-	case cq.lanes[late].len() > 0 && cq.pops%lateEvery == lateEvery-1:
+	case cq.lanes[late].len() > 0 && cq.pops%lateInterval == lateInterval-1:
 		return late
 	default:
-		return fresh
+		return onTime
 	}
 }
 
-// moveLate moves requests whose start is overdue to the late lane, as far as
-// they stand at the head.
+// moveLate moves requests that should have started already to the late lane, as
+// long as they are at the head of the onTime lane.
 func (cq *classQueue) moveLate(now time.Time) {
-	for cq.lanes[fresh].len() > 0 {
-		it := cq.lanes[fresh].first().items[fresh].Front().Value.(*Item)
+	for cq.lanes[onTime].len() > 0 {
+		it := cq.lanes[onTime].first().items[onTime].Front().Value.(*Item)
 		if it.Slack(now) >= 0 {
 			return
 		}
-		cq.leave(it)
+		cq.removeFromLane(it)
 		it.late = true
-		cq.enter(it, false)
+		cq.addToLane(it, false)
 	}
 }
 
-// charge moves the organisation's turn by tokens, which may be negative.
+// charge advances the organisation's pass by tokens, which may be negative.
 func (cq *classQueue) charge(a *account, tokens float64) {
 	a.pass += tokens / a.weight
 	for lane := range cq.lanes {
-		if a.place[lane] != outside {
-			cq.lanes[lane].fix(a.place[lane])
+		if a.index[lane] != notInHeap {
+			cq.lanes[lane].fix(a.index[lane])
 		}
 	}
-	cq.fixFurthest(a)
+	cq.fixFinishTag(a)
 }
 
-// sweep forgets accounts that wait for nothing and owe nothing.
+// sweep deletes accounts without waiting requests and without a charge above the
+// minimum pass, since a new account would start at that pass.
 func (cq *classQueue) sweep() {
 	for name, a := range cq.accounts {
-		if a.waiting == 0 && a.pass <= cq.behind(a.weight) {
+		if a.waiting == 0 && a.pass <= cq.minPass(a.weight) {
 			delete(cq.accounts, name)
 		}
 	}
--- a/internal/core/queue/doc.go
+++ b/internal/core/queue/doc.go
@@ -1,15 +1,15 @@
-// Package queue decides the order in which one agent's requests run.
+// Package queue implements the scheduling order of the requests at one agent.
 //
-// Tiers go strictly from the highest to the lowest, but for the floor share
-// that each waiting class gets, so that none starves. Classes of one tier go
-// by slack to their latency target. Inside a class the organisations take
-// turns, charged by the tokens that were really produced. Requests that can
-// still meet their target go before those that are late.
+// Tiers have strict priority, except that each waiting class receives a floor
+// share, so that no class starves. Within a tier, classes are ordered by slack to
+// their latency target. Within a class, weighted fair queueing divides the
+// capacity between organisations; each is charged for the tokens that its requests
+// really produced. Requests that can still meet their target run before late ones.
 //
 // # Usage
 //
 //	q := queue.New(queue.Policy{})
-//	q.Push(now, item)
-//	choice, ok := q.Pop(now)
-//	q.Settle(choice.Item, tokens) // when it ends
+//	q.Push(item)
+//	choice, ok := q.Pop(now, floor)
+//	q.Settle(choice.Item, tokens) // when the request ends
 package queue
--- a/internal/core/queue/heap.go
+++ b/internal/core/queue/heap.go
@@ -1,30 +1,31 @@
 package queue
 
-// indexed is a binary heap whose elements know their place in it.
-type indexed[T any] struct {
+// indexedHeap is a binary heap that reports each element's current index through
+// the index function, so that elements can be fixed or removed in place.
+type indexedHeap[T any] struct {
 	items []T
 	less  func(a, b T) bool
-	place func(T, int)
+	index func(T, int)
 }
 
-// outside is the place of an element that is not in the heap.
-const outside = -1
+// notInHeap is the index of an element that is not in the heap.
+const notInHeap = -1
 
-func (h *indexed[T]) len() int { return len(h.items) }
+func (h *indexedHeap[T]) len() int { return len(h.items) }
 
-func (h *indexed[T]) first() T { return h.items[0] }
+func (h *indexedHeap[T]) first() T { return h.items[0] }
 
-func (h *indexed[T]) push(v T) {
+func (h *indexedHeap[T]) push(v T) {
 	h.items = append(h.items, v)
 	i := len(h.items) - 1
-	h.place(v, i)
+	h.index(v, i)
 	h.up(i)
 }
 
-func (h *indexed[T]) remove(i int) {
+func (h *indexedHeap[T]) remove(i int) {
 	last := len(h.items) - 1
 	h.swap(i, last)
-	h.place(h.items[last], outside)
+	h.index(h.items[last], notInHeap)
 	var zero T
 	h.items[last] = zero
 	h.items = h.items[:last]
@@ -33,22 +34,22 @@
 	}
 }
 
-func (h *indexed[T]) fix(i int) {
+func (h *indexedHeap[T]) fix(i int) {
 	if !h.down(i) {
 		h.up(i)
 	}
 }
 
-func (h *indexed[T]) swap(i, j int) {
+func (h *indexedHeap[T]) swap(i, j int) {
 	if i == j {
 		return
 	}
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	h.place(h.items[i], i)
-	h.place(h.items[j], j)
+	h.index(h.items[i], i)
+	h.index(h.items[j], j)
 }
 
-func (h *indexed[T]) up(i int) {
+func (h *indexedHeap[T]) up(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
 		if !h.less(h.items[i], h.items[parent]) {
@@ -59,7 +60,7 @@
 	}
 }
 
-func (h *indexed[T]) down(i int) bool {
+func (h *indexedHeap[T]) down(i int) bool {
 	start := i
 	for {
 		child := 2*i + 1
--- a/internal/core/queue/item.go
+++ b/internal/core/queue/item.go
@@ -13,42 +13,44 @@
 	Class        *config.Class
 	Organisation string
 	Weight       float64
-	// Arrived is when the request reached its entry.
+	// Arrived is the time at which the request reached its entry.
 	Arrived time.Time
-	// Lead is the time from its start until the request meets its target, as
-	// far as is known.
+	// Lead is the estimated time from the start of the request until it meets its
+	// latency target.
 	Lead time.Duration
-	// Copies is the number of agents that hold the request; at least 1.
+	// Copies is the number of agents that hold the request, at least 1.
 	Copies int
-	// Produced is the number of tokens made before a preemption.
+	// Produced is the number of tokens produced before a preemption.
 	Produced int
-	// Preemptions is how often the request was preempted.
+	// Preemptions is the number of times the request was preempted.
 	Preemptions int
 
-	charged float64
-	late    bool
-	owner   *account
-	turn    *list.Element
-	age     int
+	charged      float64
+	late         bool
+	owner        *account
+	element      *list.Element
+	arrivalIndex int
 }
 
-// StartBy is the time by which the item should start.
+// StartBy returns the latest start time that meets the latency target.
 func (it *Item) StartBy() time.Time {
 	return it.Arrived.Add(it.Class.StartTarget() - it.Lead)
 }
 
-// share is the part of the request that is expected to run here.
-func (it *Item) share() float64 {
+// expectedRuns returns the expected number of runs of the request at this agent,
+// which is the reciprocal of the number of agents that hold it.
+func (it *Item) expectedRuns() float64 {
 	return 1 / float64(max(1, it.Copies))
 }
 
-// useless reports whether the answer would come too late to matter. A begun
-// answer whose target is its first token has met it or not already.
-func (it *Item) useless(now time.Time) bool {
+// expired reports whether the response would arrive too late to be useful. It is
+// irrelevant for a preempted request with a first-token target, which has already
+// met or missed that target.
+func (it *Item) expired(now time.Time) bool {
 	return now.Sub(it.Arrived) >= it.Class.Useful-it.Lead
 }
 
-// Slack is the time left until the item should start.
+// Slack returns the time left until StartBy. It is negative for late requests.
 func (it *Item) Slack(now time.Time) time.Duration {
 	return it.StartBy().Sub(now)
 }
--- a/internal/core/queue/main_test.go
+++ b/internal/core/queue/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of random tests unless one is given, so that every
-// run has the same verdict.
+// TestMain sets a fixed seed for property-based tests unless a seed is given, so
+// that runs are reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
--- a/internal/core/queue/queue.go
+++ b/internal/core/queue/queue.go
@@ -8,27 +8,28 @@
 	"github.com/gladegauge/gladegauge/internal/core/config"
 )
 
-// learnRate is the weight of a new observation in a learnt mean.
-const learnRate = 0.05
+// smoothing is the weight of a new observation in a moving average.
+const smoothing = 0.05
 
-// creditCap bounds what a class may save up, in answers.
-const creditCap = 2
+// maxCredit bounds the accrued floor credit of a class, in responses.
+const maxCredit = 2
 
-// Policy selects the order. The zero value is the product's own.
+// Policy selects the scheduling order. The zero value is the production policy.
 type Policy struct {
-	// FIFO runs requests in order of arrival alone; the baseline.
+	// FIFO runs requests in order of arrival only. It is the baseline in
+	// comparisons.
 	FIFO bool
-	// Phase, from 0 to 1, is how much of one answer each class's floor share
-	// starts with. Different phases at the agents of a pool spread the floor
-	// shares' turns over time.
+	// Phase, from 0 to 1, is the initial floor credit of each class, as a fraction
+	// of one response. Different phases at the agents of a pool spread the runs on
+	// floor shares over time.
 	Phase float64
-	// NoTurns takes a class's requests in order of arrival instead of by
-	// organisation; for comparison.
+	// NoTurns disables fair queueing between the organisations of a class. It is
+	// used in comparisons.
 	NoTurns bool
 }
 
-// Queue holds the requests that wait at one agent. It is not safe for
-// concurrent use.
+// Queue holds the waiting requests of one agent. It is not safe for concurrent
+// use.
 type Queue struct {
 	policy  Policy
 	classes map[string]*classQueue
@@ -40,7 +41,7 @@
 // Choice is the request to run next.
 type Choice struct {
 	Item *Item
-	// Floor is true if the request runs on its class's floor share.
+	// Floor is true if the request uses the floor share of its class.
 	Floor bool
 }
 
@@ -64,18 +65,18 @@
 	return 0
 }
 
-// Get returns a waiting request.
+// Get returns the waiting request with the given ID.
 func (q *Queue) Get(id string) (*Item, bool) {
 	it, ok := q.items[id]
 	return it, ok
 }
 
-// All returns the waiting requests in order of class, then arrival.
+// All returns the waiting requests, ordered by tier, class and arrival.
 func (q *Queue) All() []*Item {
 	all := make([]*Item, 0, len(q.items))
 	for _, cq := range q.order {
 		from := len(all)
-		all = append(all, cq.byAge.items...)
+		all = append(all, cq.byArrival.items...)
 		slices.SortFunc(all[from:], func(a, b *Item) int {
 			return cmp.Or(a.Arrived.Compare(b.Arrived), cmp.Compare(a.ID, b.ID))
 		})
@@ -87,7 +88,7 @@
 	cq, ok := q.classes[c.Name]
 	if !ok {
 		cq = newClassQueue(c)
-		cq.credit = q.policy.Phase * cq.cost
+		cq.credit = q.policy.Phase * cq.meanTokens
 		q.classes[c.Name] = cq
 		q.order = append(q.order, cq)
 	}
@@ -108,18 +109,18 @@
 	return 1
 }
 
-// Push adds a request. One with the identity of a waiting request is ignored.
+// Push adds a request. It ignores a request whose ID is already waiting.
 func (q *Queue) Push(it *Item) {
 	q.insert(it, false)
 }
 
-// Return puts a preempted request back before its organisation's others.
+// Return requeues a preempted request ahead of its organisation's other requests.
 func (q *Queue) Return(it *Item) {
 	q.insert(it, true)
 }
 
 func (q *Queue) insert(it *Item, front bool) {
-	if _, held := q.items[it.ID]; held {
+	if _, waiting := q.items[it.ID]; waiting {
 		return
 	}
 	it.late = false
@@ -131,7 +132,7 @@
 	q.class(it.Class).push(it, front)
 }
 
-// Remove takes a request out, for example when the caller left.
+// Remove removes a request, for example after the caller disconnected.
 func (q *Queue) Remove(id string) (*Item, bool) {
 	it, ok := q.items[id]
 	if !ok {
@@ -142,8 +143,8 @@
 	return it, true
 }
 
-// Pop takes the request that runs next. Without floor, floor shares that are
-// due wait.
+// Pop removes and returns the next request. Floor shares are considered only if
+// floor is true.
 func (q *Queue) Pop(now time.Time, floor bool) (Choice, bool) {
 	choice, ok := q.Next(now, floor)
 	if !ok {
@@ -154,24 +155,23 @@
 	q.Remove(choice.Item.ID)
 	cq.pops++
 	cq.vtime = max(cq.vtime, a.pass)
-	choice.Item.charged = cq.cost
-	cq.charge(a, cq.cost)
+	choice.Item.charged = cq.meanTokens
+	cq.charge(a, cq.meanTokens)
 	if choice.Floor {
-		cq.credit = max(0, cq.credit-cq.cost)
+		cq.credit = max(0, cq.credit-cq.meanTokens)
 	}
-	if cq.pops%sweepEvery == 0 {
+	if cq.pops%sweepInterval == 0 {
 		cq.sweep()
 	}
 	return choice, true
 }
 
-// Next returns what Pop would take. Without floor, floor shares that are due
-// wait.
+// Next returns the choice that Pop would make without removing the request.
 func (q *Queue) Next(now time.Time, floor bool) (Choice, bool) {
 	if q.policy.FIFO {
 		return q.oldest()
 	}
-	if cq := q.due(); floor && cq != nil {
+	if cq := q.mostOwedClass(); floor && cq != nil {
 		return Choice{Item: cq.head(now), Floor: true}, true
 	}
 	var best *Item
@@ -187,7 +187,8 @@
 	return Choice{Item: best}, best != nil
 }
 
-// moreUrgent prefers what can still be on time, then the smaller slack.
+// moreUrgent prefers requests that can still meet their target, then the smaller
+// slack.
 func moreUrgent(now time.Time, a, b *Item) *Item {
 	switch {
 	case a == nil:
@@ -204,14 +205,15 @@
 	}
 }
 
-// due returns the class whose floor share is owed the most.
-func (q *Queue) due() *classQueue {
+// mostOwedClass returns the waiting class with the largest floor credit relative to
+// its mean response, or nil if none has credit for one response.
+func (q *Queue) mostOwedClass() *classQueue {
 	var best *classQueue
 	for _, cq := range q.order {
-		if cq.len() == 0 || cq.credit < cq.cost {
+		if cq.len() == 0 || cq.credit < cq.meanTokens {
 			continue
 		}
-		if best == nil || cq.credit/cq.cost > best.credit/best.cost {
+		if best == nil || cq.credit/cq.meanTokens > best.credit/best.meanTokens {
 			best = cq
 		}
 	}
@@ -224,7 +226,7 @@
 		if cq.len() == 0 {
 			continue
 		}
-		it := cq.byAge.first()
+		it := cq.byArrival.first()
 		if best == nil || it.Arrived.Before(best.Arrived) {
 			best = it
 		}
@@ -232,20 +234,20 @@
 	return Choice{Item: best}, best != nil
 }
 
-// Produced tells that a running request of the class made tokens; waiting
-// classes earn their floor share of them.
+// Produced credits each waiting class with its floor share of the tokens that a
+// running request produced.
 func (q *Queue) Produced(tokens int) {
 	for _, cq := range q.order {
 		if cq.len() == 0 {
 			continue
 		}
 		earned := cq.class.FloorShare * float64(tokens)
-		cq.credit = min(cq.credit+earned, creditCap*cq.cost)
+		cq.credit = min(cq.credit+earned, maxCredit*cq.meanTokens)
 	}
 }
 
-// Settle charges what the request really took, in place of the estimate that
-// Pop charged. It is called once for each Pop.
+// Settle replaces the estimate that Pop charged by the tokens really produced. It
+// must be called once for each Pop.
 func (q *Queue) Settle(it *Item, tokens int) {
 	cq := q.class(it.Class)
 	a, ok := cq.accounts[it.Organisation]
@@ -256,60 +258,61 @@
 	it.charged = 0
 }
 
-// Learn takes a completed answer's tokens into the class's mean.
+// Learn updates the class's length estimates with the tokens of a completed
+// response.
 func (q *Queue) Learn(c *config.Class, tokens int) {
 	cq := q.class(c)
-	cq.cost += learnRate * (float64(tokens) - cq.cost)
-	cq.cost = max(cq.cost, 1)
-	if float64(tokens) > cq.long {
-		cq.long *= 1 + learnRate*longQuantile
+	cq.meanTokens += smoothing * (float64(tokens) - cq.meanTokens)
+	cq.meanTokens = max(cq.meanTokens, 1)
+	if float64(tokens) > cq.tailTokens {
+		cq.tailTokens *= 1 + smoothing*tailQuantile
 	} else {
-		cq.long *= 1 - learnRate*(1-longQuantile)
+		cq.tailTokens *= 1 - smoothing*(1-tailQuantile)
 	}
-	cq.long = max(cq.long, 1)
+	cq.tailTokens = max(cq.tailTokens, 1)
 }
 
-// SetCopies tells how many agents hold a waiting request now.
+// SetCopies updates the number of agents that hold a waiting request.
 func (q *Queue) SetCopies(id string, n int) {
 	it, ok := q.items[id]
 	if !ok {
 		return
 	}
 	cq := q.classes[it.Class.Name]
-	cq.share -= it.share()
+	cq.expectedRuns -= it.expectedRuns()
 	it.Copies = n
-	cq.share += it.share()
+	cq.expectedRuns += it.expectedRuns()
 }
 
-// Long returns the tokens that most answers of the class do not exceed.
+// Long returns an upper quantile of the tokens per response of the class.
 func (q *Queue) Long(c *config.Class) float64 {
 	if cq, ok := q.classes[c.Name]; ok {
-		return cq.long
+		return cq.tailTokens
 	}
-	return firstLong * float64(c.ExpectedTokens)
+	return initialTailFactor * float64(c.ExpectedTokens)
 }
 
-// Cost returns the learnt mean of tokens of the class's answers.
+// Cost returns the moving average of the tokens per response of the class.
 func (q *Queue) Cost(c *config.Class) float64 {
 	if cq, ok := q.classes[c.Name]; ok {
-		return cq.cost
+		return cq.meanTokens
 	}
 	return float64(c.ExpectedTokens)
 }
 
-// Ahead returns the requests, and their tokens, that are expected to run here
-// before a new request of the tier.
+// Ahead returns the expected number of requests, and of their tokens, that run at
+// this agent before a new request of the tier.
 func (q *Queue) Ahead(tier int) (requests, tokens float64) {
 	for _, cq := range q.order {
 		if q.policy.FIFO || cq.class.Tier <= tier {
-			requests += cq.share
-			tokens += cq.share * cq.cost
+			requests += cq.expectedRuns
+			tokens += cq.expectedRuns * cq.meanTokens
 		}
 	}
 	return requests, tokens
 }
 
-// WaitingAbove returns the number of requests of tiers above the given one.
+// WaitingAbove returns the number of waiting requests of tiers above the given one.
 func (q *Queue) WaitingAbove(tier int) int {
 	n := 0
 	for _, cq := range q.order {
@@ -320,8 +323,9 @@
 	return n
 }
 
-// Expired takes out the requests that can no longer matter. Those of
-// protected classes stay.
+// Expired removes and returns the requests whose responses would arrive too late to
+// be useful. Requests of protected classes stay, and so do preempted requests whose
+// target is the first token.
 func (q *Queue) Expired(now time.Time) []*Item {
 	var out []*Item
 	for _, cq := range q.order {
@@ -329,8 +333,8 @@
 			continue
 		}
 		var begun []*Item
-		for cq.len() > 0 && cq.byAge.first().useless(now) {
-			it := cq.byAge.first()
+		for cq.len() > 0 && cq.byArrival.first().expired(now) {
+			it := cq.byArrival.first()
 			q.Remove(it.ID)
 			if it.Produced > 0 && it.Class.FirstToken > 0 {
 				begun = append(begun, it)
@@ -345,15 +349,16 @@
 	return out
 }
 
-// Furthest returns the newest request of the organisation whose turn would be
-// the furthest ahead after all it has waiting.
+// Furthest returns the last request of the organisation with the largest finish
+// tag, which is the one that exceeds its fair share the most. The request is the
+// candidate for eviction.
 func (q *Queue) Furthest(class string) (*Item, bool) {
 	cq, ok := q.classes[class]
-	if !ok || cq.furthest.len() == 0 {
+	if !ok || cq.byFinishTag.len() == 0 {
 		return nil, false
 	}
-	a := cq.furthest.first()
-	for _, lane := range []int{fresh, late, resumed} {
+	a := cq.byFinishTag.first()
+	for _, lane := range []int{onTime, late, resumed} {
 		if a.items[lane].Len() > 0 {
 			return a.items[lane].Back().Value.(*Item), true
 		}
@@ -361,10 +366,10 @@
 	return nil, false
 }
 
-// Before reports whether the newcomer's turn would come before that of a
-// waiting request of the same class, which is its organisation's last.
+// Before reports whether newcomer would run before a waiting request of the same
+// class, which must be the last one of its organisation.
 func (q *Queue) Before(newcomer, waiting *Item) bool {
 	cq := q.class(newcomer.Class)
 	a := cq.account(newcomer.Organisation, newcomer.Weight)
-	return a.tag(1, cq.unit()) < waiting.owner.tag(0, cq.unit())
+	return a.finishTag(1, cq.tokensPerRequest()) < waiting.owner.finishTag(0, cq.tokensPerRequest())
 }
--- a/internal/core/queue/queue_test.go
+++ b/internal/core/queue/queue_test.go
@@ -31,7 +31,7 @@
 	return &Item{ID: id, Class: c, Organisation: organisation, Weight: 1, Arrived: t0.Add(at), Copies: 1}
 }
 
-// popAll empties the queue and returns the identities in order.
+// popAll empties the queue and returns the request IDs in order.
 func popAll(q *Queue, now time.Time) []string {
 	var ids []string
 	for {
@@ -50,16 +50,16 @@
 		now   time.Duration
 		want  []string
 	}{
-		{"tiers before arrival", []*Item{
+		{"tier before arrival", []*Item{
 			item("report", report, "a", 0), item("deck", deck, "a", 1), item("ruling", ruling, "a", 2),
 		}, 10, []string{"ruling", "deck", "report"}},
 		{"slack inside a tier", []*Item{
 			item("deck", deck, "a", 0), item("question", question, "a", time.Second),
 		}, time.Second, []string{"question", "deck"}},
-		{"organisations in turn", []*Item{
+		{"fair queueing between organisations", []*Item{
 			item("a1", deck, "a", 0), item("a2", deck, "a", 1), item("a3", deck, "a", 2), item("b1", deck, "b", 3),
 		}, 10, []string{"a1", "b1", "a2", "a3"}},
-		{"begun before new", []*Item{
+		{"preempted before new", []*Item{
 			item("new", report, "a", 0), {ID: "begun", Class: report, Organisation: "b", Weight: 1, Arrived: t0.Add(1), Produced: 7},
 		}, 10, []string{"begun", "new"}},
 		{"on time before late", []*Item{
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestTurnsAreChargedByTokens lets one organisation's answers be ten times as
-// long; the other one then runs ten times as often.
+// TestTurnsAreChargedByTokens checks that two organisations receive equal numbers of
+// tokens although the responses of one are ten times as long.
 func TestTurnsAreChargedByTokens(t *testing.T) {
 	is := is.New(t)
 	q := New(Policy{})
@@ -101,8 +101,8 @@
 	is.True(ratio > 0.95 && ratio < 1.05)
 }
 
-// TestFloorShare keeps the highest tier always waiting; the lowest still gets
-// its share of the tokens, and a bounded wait.
+// TestFloorShare guards against starvation: while requests of the highest tier
+// always wait, the lowest tier receives its floor share and a bounded wait.
 func TestFloorShare(t *testing.T) {
 	is := is.New(t)
 	q := New(Policy{})
@@ -126,7 +126,7 @@
 		}
 	}
 	is.True(low >= 45 && low <= 55) // A floor share of 0.05.
-	is.True(longest <= 22)          // The bound: one answer for each 1/0.05 answers.
+	is.True(longest <= 22)          // At most 1/0.05 responses between two, with a margin.
 }
 
 func TestExpiredLeavesProtected(t *testing.T) {
@@ -141,13 +141,13 @@
 	is.Equal(q.Len(), 2)
 }
 
-// TestQueueProperties runs random operations: nothing is lost or doubled, and
-// no tier runs before a higher one but on its floor share.
+// TestQueueProperties applies random operations: no request is lost or duplicated,
+// and no request runs before one of a higher tier except on a floor share.
 func TestQueueProperties(t *testing.T) {
 	classes := []*config.Class{ruling, deck, question, report}
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(Policy{})
-		held := map[string]*Item{}
+		waiting := map[string]*Item{}
 		now := t0
 		for i := range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "gap")) * time.Millisecond)
@@ -156,45 +156,45 @@
 				it := item(fmt.Sprint(i), rapid.SampledFrom(classes).Draw(t, "class"), rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "organisation"), 0)
 				it.Arrived = now
 				q.Push(it)
-				held[it.ID] = it
+				waiting[it.ID] = it
 			case 2:
 				choice, ok := q.Pop(now, true)
-				if ok != (len(held) > 0) {
-					t.Fatalf("pop %v with %d held", ok, len(held))
+				if ok != (len(waiting) > 0) {
+					t.Fatalf("Pop returned %v with %d requests waiting", ok, len(waiting))
 				}
 				if ok {
-					checkChoice(t, choice, held)
+					checkChoice(t, choice, waiting)
 					q.Produced(100)
 					q.Settle(choice.Item, rapid.IntRange(1, 500).Draw(t, "tokens"))
 				}
 			case 3:
-				for id := range held {
+				for id := range waiting {
 					if _, ok := q.Remove(id); !ok {
-						t.Fatalf("%s was lost", id)
+						t.Fatalf("request %s was lost", id)
 					}
-					delete(held, id)
+					delete(waiting, id)
 					break
 				}
 			case 4:
 				for _, it := range q.Expired(now) {
-					delete(held, it.ID)
+					delete(waiting, it.ID)
 				}
 			}
-			if q.Len() != len(held) || len(q.All()) != len(held) {
-				t.Fatalf("queue has %d and %d, should have %d", q.Len(), len(q.All()), len(held))
+			if q.Len() != len(waiting) || len(q.All()) != len(waiting) {
+				t.Fatalf("Len is %d and All returns %d requests, want %d", q.Len(), len(q.All()), len(waiting))
 			}
 		}
 	})
 }
 
-func checkChoice(t *rapid.T, choice Choice, held map[string]*Item) {
-	if held[choice.Item.ID] != choice.Item {
-		t.Fatalf("%s was not held", choice.Item.ID)
+func checkChoice(t *rapid.T, choice Choice, waiting map[string]*Item) {
+	if waiting[choice.Item.ID] != choice.Item {
+		t.Fatalf("request %s was not waiting", choice.Item.ID)
 	}
-	delete(held, choice.Item.ID)
-	for _, other := range held {
+	delete(waiting, choice.Item.ID)
+	for _, other := range waiting {
 		if !choice.Floor && other.Class.Tier < choice.Item.Class.Tier {
-			t.Fatalf("%s ran before %s", choice.Item.Class.Name, other.Class.Name)
+			t.Fatalf("class %s ran before class %s of a higher tier", choice.Item.Class.Name, other.Class.Name)
 		}
 	}
 }
