--- a/internal/core/agent/admit.go
+++ b/internal/core/agent/admit.go
@@ -8,23 +8,24 @@
 	"github.com/gladegauge/gladegauge/internal/core/queue"
 )
 
-// minWaiting is the number of requests of each class that may always wait, so
-// that its floor share has something to serve.
+// minWaiting is the number of requests of each class that may always wait, so that
+// its floor share has requests to serve.
 const minWaiting = 1
 
-// admitShare is the part of its slack that a request may be expected to wait.
-// The wait is a mean over so many requests; a queue as long as the slack would
-// leave half of them late, the more certainly the more they are.
-func admitShare(requests float64) float64 {
+// maxWaitShare returns the part of a request's slack that its expected wait may use,
+// given the number of requests waited for. The expected wait is a mean: if it
+// equalled the slack, about half of the requests would be late. The mean is more
+// reliable for more requests, so the share grows with their number.
+func maxWaitShare(requests float64) float64 {
 	return 1 - 1/math.Sqrt(2+requests)
 }
 
-// maxLead bounds the lead, as a part of the target.
+// maxLead is the upper bound of the lead, as a fraction of the target.
 const maxLead = 0.8
 
-// admit decides whether a request may wait. When the class has more waiting
-// than can start in time, the organisation that is furthest ahead of its turn
-// gives way.
+// admit decides whether a request may wait. If the class has more requests waiting
+// than can start in time, the last request of the organisation that exceeds its
+// fair share the most may be evicted for it.
 func (a *Agent) admit(now time.Time, it *queue.Item) ([]Effect, bool) {
 	if a.options.NoRefusal {
 		return nil, true
@@ -35,52 +36,55 @@
 	if a.queue.LenClass(it.Class.Name) < minWaiting {
 		return nil, true
 	}
-	effects := a.makeRoom(it.Class)
+	effects := a.preemptForProtected(it.Class)
 	victim, ok := a.queue.Furthest(it.Class.Name)
-	if !ok || !a.givesWay(victim, it) {
+	if !ok || !a.canEvict(victim, it) {
 		return effects, false
 	}
 	a.queue.Remove(victim.ID)
 	return append(effects, a.refuse(now, victim.ID, Overload, victim.Class)), true
 }
 
-// startsInTime reports whether the request can be expected to start within
-// its target, after all that stands before it.
+// startsInTime reports whether the request is expected to start within its target,
+// after all requests that run before it.
 func (a *Agent) startsInTime(now time.Time, it *queue.Item) bool {
 	wait, requests := a.waitFor(it.Class, a.queue.Cost(it.Class))
-	share := admitShare(requests) * a.trustOf(it.Class)
+	share := maxWaitShare(requests) * a.slackFactor(it.Class)
 	return wait == 0 || wait <= time.Duration(share*float64(it.Slack(now)))
 }
 
-// Steps of learning how far the expected wait can be trusted. In balance about
-// one request in twenty is late.
+// Adaptation of the slack factor, which corrects the wait estimate. The factor is
+// multiplied by slackFactorDecay after a late request and grows by slackFactorGain
+// after one on time. In equilibrium about one request in twenty is late.
 const (
-	trustLoss = 0.97
-	trustGain = 0.001
-	minTrust  = 0.1
+	slackFactorDecay = 0.97
+	slackFactorGain  = 0.001
+	minSlackFactor   = 0.1
 )
 
-// trustOf is the part of its slack that a request of the class may use.
-func (a *Agent) trustOf(class *config.Class) float64 {
-	if t, ok := a.trust[class.Name]; ok {
+// slackFactor returns the part of its slack that a request of the class may use.
+func (a *Agent) slackFactor(class *config.Class) float64 {
+	if t, ok := a.slackFactors[class.Name]; ok {
 		return t
 	}
 	return 1
 }
 
-// learnTrust takes in whether a request of the class was served on time.
-func (a *Agent) learnTrust(class *config.Class, onTime bool) {
-	t := a.trustOf(class)
+// adjustSlackFactor adapts the slack factor after a request of the class was served
+// on time or late.
+func (a *Agent) adjustSlackFactor(class *config.Class, onTime bool) {
+	t := a.slackFactor(class)
 	if onTime {
-		t += trustGain
+		t += slackFactorGain
 	} else {
-		t *= trustLoss
+		t *= slackFactorDecay
 	}
-	a.trust[class.Name] = min(1, max(minTrust, t))
+	a.slackFactors[class.Name] = min(1, max(minSlackFactor, t))
 }
 
-// givesWay reports whether the newcomer's organisation is further behind.
-func (a *Agent) givesWay(victim, newcomer *queue.Item) bool {
+// canEvict reports whether the newcomer may take the place of the victim: the victim
+// was never started and belongs to another organisation, whose turn comes later.
+func (a *Agent) canEvict(victim, newcomer *queue.Item) bool {
 	if a.ledger.State(victim.ID).Started() || victim.Organisation == newcomer.Organisation {
 		return false
 	}
--- a/internal/core/agent/agent.go
+++ b/internal/core/agent/agent.go
@@ -12,49 +12,53 @@
 	"github.com/gladegauge/gladegauge/internal/core/rendezvous"
 )
 
-// Limits and rates of an agent.
+// Timeouts, limits and smoothing factors of an agent.
 const (
-	// GrantTTL is how long a granted slot stays reserved.
+	// GrantTTL is the time for which a granted slot stays reserved.
 	GrantTTL = 500 * time.Millisecond
-	// Lease is the longest gap between two ticks of an agent that was not
-	// paused.
+	// Lease is the maximum time between two ticks. After a longer gap, the process
+	// is considered to have been paused.
 	Lease = 3 * time.Second
-	// MaxWaiting bounds the requests that one agent holds.
+	// MaxWaiting is the maximum number of waiting requests.
 	MaxWaiting = 20000
-	// keepRecords outlives every message about an attempt.
-	keepRecords = 2 * time.Minute
-	// keepKeys is the life of an idempotency key.
-	keepKeys       = 15 * time.Minute
+	// recordTTL is the retention of attempt records. It is longer than any message
+	// about an attempt can be delayed.
+	recordTTL = 2 * time.Minute
+	// keyTTL is the lifetime of an idempotency key.
+	keyTTL         = 15 * time.Minute
 	maxPreemptions = 2
-	speedRate      = 0.05
-	// minAvailable is the share of the upstream that a tier can count on.
-	minAvailable   = 0.05
-	minObservation = 200 * time.Millisecond
-	// giveUpAfter is how long the upstream is down before its runs are lost.
-	giveUpAfter = 2 * time.Second
-	// stuckAfter is how long a run may make no token.
-	stuckAfter = 15 * time.Second
-	// floorSlots is the number of slots for each run on a floor share.
-	floorSlots = 10
-	// urgentWaits is how many natural waits for a slot of slack a request
-	// must have left not to preempt.
-	urgentWaits = 2
+	smoothing      = 0.05
+	// minAvailableShare is the minimum share of the upstream's capacity that wait
+	// estimates assume for a tier.
+	minAvailableShare = 0.05
+	minSpeedInterval  = 200 * time.Millisecond
+	// downGracePeriod is the time after which the runs of an upstream that is down
+	// are stopped.
+	downGracePeriod = 2 * time.Second
+	// stallTimeout is the time without a token after which a run is stopped.
+	stallTimeout = 15 * time.Second
+	// slotsPerFloorRun is the number of slots per concurrent run on a floor share.
+	slotsPerFloorRun = 10
+	// urgencyFactor is the minimum slack of a request, in mean times between
+	// released slots. A request with less slack preempts.
+	urgencyFactor = 2
 )
 
-// Options are the settings of an agent. Zero values take the defaults.
+// Options are the settings of an agent. Zero values select the defaults.
 type Options struct {
 	Incarnation string
 	Slots       int
-	// Speed is the first guess of tokens a second of one run.
+	// Speed is the initial estimate of the tokens per second of one run.
 	Speed float64
-	// Tokens is the first guess of tokens of one answer.
+	// Tokens is the initial estimate of the tokens per response.
 	Tokens float64
 	Queue  queue.Policy
-	// NoRefusal queues everything, without a bound by time; the baseline.
+	// NoRefusal disables admission control: every request is queued. It is the
+	// baseline in comparisons.
 	NoRefusal bool
-	// NoPreemption lets every started request finish.
+	// NoPreemption disables preemption.
 	NoPreemption bool
-	// NewKey makes an idempotency key's secret part.
+	// NewKey generates the secret part of an idempotency key.
 	NewKey func() string
 }
 
@@ -73,61 +77,62 @@
 
 // Agent is the state of one agent. It is not safe for concurrent use.
 type Agent struct {
-	options  Options
-	cfg      *config.Config
-	queue    *queue.Queue
-	ledger   *ledger.Ledger
-	keys     keyring
-	runs     map[string]*run
-	offers   map[string]Offer
-	slots    int
-	busy     int
-	stopping int
-	speed    float64
-	measured bool
-	// made is the tokens of each tier since the last tick, and rates their
-	// learnt tokens a second.
-	made  [config.Tiers]int
-	rates [windows][config.Tiers]float64
-	// trust is, by class, how much of the slack may be used for waiting, as
-	// learnt from requests that were served on time or late.
-	trust map[string]float64
-	// prompt is the learnt time to the first token, in nanoseconds.
-	prompt  float64
-	leaving bool
-	down    bool
-	// said is what the upstream has said of itself.
-	said notice.State
-	// downAt is when the upstream was last seen to go down.
+	options       Options
+	cfg           *config.Config
+	queue         *queue.Queue
+	ledger        *ledger.Ledger
+	keys          keyring
+	runs          map[string]*run
+	offers        map[string]Offer
+	slots         int
+	busySlots     int
+	stopping      int
+	speed         float64
+	speedMeasured bool
+	// tierTokens is the number of tokens that each tier produced since the last
+	// tick, and tierRates the moving averages of their tokens per second.
+	tierTokens [config.Tiers]int
+	tierRates  [windows][config.Tiers]float64
+	// slackFactors holds, by class, the part of a request's slack that the expected
+	// wait may use. It adapts to the requests served on time and late.
+	slackFactors map[string]float64
+	// timeToFirstToken is the moving average of the time from the start of a run to
+	// its first token, in nanoseconds.
+	timeToFirstToken float64
+	leaving          bool
+	down             bool
+	// notices is the state that the upstream reported about itself.
+	notices notice.State
+	// downAt is the time of the last change of the upstream to down.
 	downAt   time.Time
 	lastTick time.Time
 }
 
-// New returns an agent without work.
+// New returns an agent without requests.
 func New(o Options, cfg *config.Config) *Agent {
 	o = o.withDefaults()
 	o.Queue.Phase = phaseOf(o.Incarnation)
 	return &Agent{
-		options: o,
-		cfg:     cfg,
-		queue:   queue.New(o.Queue),
-		ledger:  ledger.New(keepRecords),
-		keys:    keyring{},
-		runs:    make(map[string]*run),
-		offers:  make(map[string]Offer),
-		trust:   make(map[string]float64),
-		slots:   o.Slots,
-		speed:   o.Speed,
+		options:      o,
+		cfg:          cfg,
+		queue:        queue.New(o.Queue),
+		ledger:       ledger.New(recordTTL),
+		keys:         keyring{},
+		runs:         make(map[string]*run),
+		offers:       make(map[string]Offer),
+		slackFactors: make(map[string]float64),
+		slots:        o.Slots,
+		speed:        o.Speed,
 	}
 }
 
-// phaseOf spreads incarnations evenly from 0 to 1.
+// phaseOf hashes the incarnation to a queue phase, uniformly from 0 to 1.
 func phaseOf(incarnation string) float64 {
 	const steps = 1 << 16
 	return float64(rendezvous.Score("floor", incarnation)%steps) / steps
 }
 
-// Configure takes a new configuration and number of slots into force.
+// Configure applies a new configuration and number of slots.
 func (a *Agent) Configure(now time.Time, cfg *config.Config, slots int) []Effect {
 	a.cfg = cfg
 	a.slots = slots
@@ -137,8 +142,7 @@
 // Incarnation returns the agent's own incarnation.
 func (a *Agent) Incarnation() string { return a.options.Incarnation }
 
-// Counts returns the number of requests of each of the classes that wait and
-// run.
+// Counts returns the numbers of waiting and running requests by class.
 func (a *Agent) Counts(classes []string) (queued, running map[string]int) {
 	queued = make(map[string]int)
 	running = make(map[string]int)
@@ -151,8 +155,8 @@
 	return queued, running
 }
 
-// running returns the runs in order of identity, for decisions that must not
-// depend on the order of a map.
+// running returns the runs ordered by ID, for decisions that must not depend on
+// map iteration order.
 func (a *Agent) running() []*run {
 	out := make([]*run, 0, len(a.runs))
 	for _, r := range a.runs {
--- a/internal/core/agent/agent_test.go
+++ b/internal/core/agent/agent_test.go
@@ -50,8 +50,8 @@
 	return Offer{ID: id, Class: class, Organisation: "hall", Weight: 1, Arrived: at, Copies: 1}
 }
 
-// show writes effects as short words.
-func show(effects []Effect) string {
+// formatEffects formats effects for comparison.
+func formatEffects(effects []Effect) string {
 	var words []string
 	for _, effect := range effects {
 		switch e := effect.(type) {
@@ -70,7 +70,7 @@
 	return strings.Join(words, ", ")
 }
 
-// step is one event of a row and the effects that it should have.
+// step is one event of a test case and the expected effects.
 type step struct {
 	at   time.Duration
 	do   func(a *Agent, now time.Time) []Effect
@@ -112,7 +112,7 @@
 		slots int
 		steps []step
 	}{
-		{"runs once", 2, []step{
+		{"attempt runs once", 2, []step{
 			{0, offers("a", "ruling"), "grant a"},
 			{2 * ms, claims("a"), "start a 0"},
 			{3 * ms, claims("a"), ""},
@@ -121,24 +121,24 @@
 			{901 * ms, claims("a"), "fail a true"},
 			{902 * ms, offers("a", "ruling"), "fail a true"},
 		}},
-		{"the upstream rests", 1, []step{
+		{"upstream backoff", 1, []step{
 			{0, offers("a", "ruling"), "grant a"},
 			{ms, claims("a"), "start a 0"},
 			{2 * ms, offers("b", "ruling"), ""},
 			{3 * ms, rests(2 * time.Second), "refuse b upstream_down"},
 			{4 * ms, offers("c", "ruling"), "refuse c upstream_down"},
-			{5 * ms, rests(time.Second), ""}, // ends sooner
+			{5 * ms, rests(time.Second), ""}, // Ends before the current backoff.
 			{6 * ms, ends("a", Completed, 5), ""},
 			{1900 * ms, offers("d", "ruling"), "refuse d upstream_down"},
 			{2004 * ms, offers("e", "ruling"), "grant e"},
 		}},
-		{"a late claim starts nothing", 1, []step{
+		{"late claim starts nothing", 1, []step{
 			{0, offers("a", "ruling"), "grant a"},
 			{10 * ms, offers("b", "ruling"), ""},
 			{GrantTTL + 200*ms, claims("a"), "refuse a stale, grant b"},
 			{GrantTTL + 201*ms, offers("a", "ruling"), "refuse a stale"},
 		}},
-		{"an expired grant goes on to the next", 1, []step{
+		{"slot of an expired grant goes to the next request", 1, []step{
 			{0, offers("a", "ruling"), "grant a"},
 			{10 * ms, offers("b", "ruling"), ""},
 			{GrantTTL + 10*ms, ticks, "refuse a stale, grant b"},
@@ -153,7 +153,7 @@
 			{2 * ms, withdraws("a"), "grant b"},
 			{3 * ms, claims("a"), "refuse a stale"},
 		}},
-		{"withdrawn while it runs", 1, []step{
+		{"withdrawn while running", 1, []step{
 			{0, offers("a", "ruling"), "grant a"},
 			{1 * ms, claims("a"), "start a 0"},
 			{2 * ms, withdraws("a"), "stop a false"},
@@ -161,7 +161,7 @@
 			{4 * ms, stopped("a", 3), ""},
 			{5 * ms, offers("a", "ruling"), "fail a true"},
 		}},
-		{"preempted and resumed where it was", 1, []step{
+		{"preempted and resumed", 1, []step{
 			{0, offers("low", "report"), "grant low"},
 			{1 * ms, claims("low"), "start low 0"},
 			{100 * ms, offers("high", "ruling"), "stop low true"},
@@ -169,17 +169,17 @@
 			{111 * ms, claims("high"), "start high 0"},
 			{900 * ms, ends("high", Completed, 9), "start low 40"},
 		}},
-		{"protected is not preempted", 1, []step{
+		{"protected request is not preempted", 1, []step{
 			{0, offers("first", "ruling"), "grant first"},
 			{1 * ms, claims("first"), "start first 0"},
 			{2 * ms, offers("second", "registration"), ""},
 		}},
-		{"what may not be repeated is not preempted", 1, []step{
+		{"non-repeatable request is not preempted", 1, []step{
 			{0, offers("r", "registration"), "grant r"},
 			{1 * ms, claims("r"), "start r 0"},
 			{2 * ms, offers("ruling", "ruling"), ""},
 		}},
-		{"leaving refuses what waits and completes what runs", 1, []step{
+		{"draining refuses waiting requests and completes runs", 1, []step{
 			{0, offers("a", "ruling"), "grant a"},
 			{1 * ms, claims("a"), "start a 0"},
 			{2 * ms, offers("b", "ruling"), ""},
@@ -187,7 +187,7 @@
 			{4 * ms, offers("c", "ruling"), "refuse c leaving"},
 			{900 * ms, ends("a", Completed, 5), ""},
 		}},
-		{"paused and woken: grants and what waits are void", 1, []step{
+		{"grants and waiting requests expire after a pause", 1, []step{
 			{0, ticks, ""},
 			{1 * ms, offers("a", "ruling"), "grant a"},
 			{2 * ms, offers("b", "ruling"), ""},
@@ -196,7 +196,7 @@
 			{30*time.Second + 2*ms, ticks, ""},
 			{30*time.Second + 3*ms, offers("c", "ruling"), "grant c"},
 		}},
-		{"too late to matter", 1, []step{
+		{"response too late to be useful", 1, []step{
 			{0, offers("a", "ruling"), "grant a"},
 			{1 * ms, claims("a"), "start a 0"},
 			{2 * ms, offers("q", "question"), ""},
@@ -214,7 +214,7 @@
 			{6 * ms, func(a *Agent, now time.Time) []Effect { return a.SetDown(now, false) }, ""},
 			{7 * ms, offers("d", "ruling"), "grant d"},
 		}},
-		{"a claim of a predecessor's grant", 1, []step{
+		{"claim for the grant of an earlier incarnation", 1, []step{
 			{0, offers("a", "ruling"), "grant a"},
 			{ms, func(a *Agent, now time.Time) []Effect { return a.Claim(now, "a", "earlier") }, "refuse a wrong_incarnation"},
 		}},
@@ -227,7 +227,7 @@
 			{2101 * ms, stopped("a", 3), "fail a false"},
 			{2102 * ms, offers("a", "ruling"), "fail a true"},
 		}},
-		{"upstream makes nothing", 1, []step{
+		{"run produces no tokens", 1, []step{
 			{0, offers("a", "ruling"), "grant a"},
 			{1 * ms, claims("a"), "start a 0"},
 			{2000 * ms, ticks, ""},
@@ -238,7 +238,7 @@
 			{19101 * ms, stopped("a", 2), "fail a false"},
 		}},
 		{"unknown class", 1, []step{{0, offers("a", "vip"), "refuse a unknown_class"}}},
-		{"meant for a predecessor", 1, []step{
+		{"offer to an earlier incarnation", 1, []step{
 			{0, func(a *Agent, now time.Time) []Effect {
 				o := offer("a", "ruling", now)
 				o.Incarnation = "earlier"
@@ -251,14 +251,14 @@
 			is := is.New(t)
 			a := newAgent(t, Options{Slots: tt.slots})
 			for _, s := range tt.steps {
-				is.Equal(show(s.do(a, t0.Add(s.at))), s.want)
+				is.Equal(formatEffects(s.do(a, t0.Add(s.at))), s.want)
 			}
 		})
 	}
 }
 
-// TestProtectedIsShedLast fills the agent with lower tiers: protected requests
-// are taken until no run of a lower tier is left to stop.
+// TestProtectedIsShedLast fills the agent with runs of a lower tier. Protected
+// requests must not be refused while such a run remains to be preempted.
 func TestProtectedIsShedLast(t *testing.T) {
 	is := is.New(t)
 	a := newAgent(t, Options{Slots: 8})
@@ -297,14 +297,14 @@
 		o.Key = k
 		return o
 	}
-	is.Equal(show(a.Offer(t0, with("a", key))), "grant a")
-	is.Equal(show(a.Offer(t0, with("b", key))), "grant b")
-	is.Equal(show(a.Claim(t0, "a", "first")), "start a 0")
-	is.Equal(show(a.Claim(t0, "b", "first")), "fail b true")
-	is.Equal(show(a.Offer(t0, with("c", key))), "fail c true")
-	is.Equal(show(a.Offer(t0, with("d", "agent-1.first.0123456789abcdef"))), "refuse d unknown_key")
-	is.Equal(show(a.Ended(t0, "a", NeverRan, 0)), "")
-	is.Equal(show(a.Offer(t0, with("e", key))), "grant e")
-	a.Tick(t0.Add(keepKeys + time.Second))
+	is.Equal(formatEffects(a.Offer(t0, with("a", key))), "grant a")
+	is.Equal(formatEffects(a.Offer(t0, with("b", key))), "grant b")
+	is.Equal(formatEffects(a.Claim(t0, "a", "first")), "start a 0")
+	is.Equal(formatEffects(a.Claim(t0, "b", "first")), "fail b true")
+	is.Equal(formatEffects(a.Offer(t0, with("c", key))), "fail c true")
+	is.Equal(formatEffects(a.Offer(t0, with("d", "agent-1.first.0123456789abcdef"))), "refuse d unknown_key")
+	is.Equal(formatEffects(a.Ended(t0, "a", NeverRan, 0)), "")
+	is.Equal(formatEffects(a.Offer(t0, with("e", key))), "grant e")
+	a.Tick(t0.Add(keyTTL + time.Second))
 	is.Equal(len(a.keys), 0)
 }
--- a/internal/core/agent/attempt.go
+++ b/internal/core/agent/attempt.go
@@ -7,10 +7,10 @@
 	"github.com/gladegauge/gladegauge/internal/core/queue"
 )
 
-// Offer takes an offer: it waits, is granted a slot, or is refused.
+// Offer handles an offer: it is queued, granted a slot or refused.
 func (a *Agent) Offer(now time.Time, o Offer) []Effect {
 	if a.ledger.State(o.ID).Live() {
-		// A copy of the message; the attempt has its answers already.
+		// Duplicate message: the attempt is already known.
 		return nil
 	}
 	if refusal := a.inadmissible(now, o); refusal != nil {
@@ -36,7 +36,7 @@
 	return append(effects, a.schedule(now)...)
 }
 
-// inadmissible returns the effect for an offer that can never be queued here.
+// inadmissible returns the effect for an offer that must not be queued, or nil.
 func (a *Agent) inadmissible(now time.Time, o Offer) Effect {
 	switch a.ledger.State(o.ID) {
 	case ledger.Ran:
@@ -56,7 +56,7 @@
 	if a.leaving {
 		return Refuse{ID: o.ID, Reason: Leaving}
 	}
-	if left := a.restLeft(now); left > 0 {
+	if left := a.backoffLeft(now); left > 0 {
 		return Refuse{ID: o.ID, Reason: UpstreamDown, RetryAfter: left}
 	}
 	if a.down {
@@ -68,20 +68,20 @@
 	return nil
 }
 
-// Recount tells how many agents hold a waiting offer now.
+// Recount updates the number of agents that hold a waiting offer.
 func (a *Agent) Recount(id string, copies int) {
 	a.queue.SetCopies(id, copies)
 }
 
-// Claim starts a granted attempt. A claim that comes too late, twice, without
-// a grant or for another incarnation's grant starts nothing.
+// Claim starts a granted attempt. A claim that is late, duplicated, without a grant
+// or for the grant of another incarnation starts nothing.
 func (a *Agent) Claim(now time.Time, id, incarnation string) []Effect {
 	if incarnation != a.options.Incarnation {
 		return []Effect{Refuse{ID: id, Reason: WrongIncarnation}}
 	}
 	r, ok := a.runs[id]
 	if !ok || r.claimed {
-		return a.strayClaim(id)
+		return a.claimWithoutGrant(id)
 	}
 	if a.paused(now) || now.Sub(r.granted) > GrantTTL {
 		a.release(id)
@@ -96,7 +96,7 @@
 	return []Effect{a.start(now, id, r)}
 }
 
-func (a *Agent) strayClaim(id string) []Effect {
+func (a *Agent) claimWithoutGrant(id string) []Effect {
 	switch a.ledger.State(id) {
 	case ledger.Ran:
 		return []Effect{Fail{ID: id, AlreadyRun: true}}
@@ -110,14 +110,14 @@
 func (a *Agent) start(now time.Time, id string, r *run) Effect {
 	r.claimed = true
 	r.started = now
-	r.movedAt = now
+	r.lastTokenAt = now
 	r.produced = r.item.Produced
 	r.observed = r.produced
 	r.observedAt = now
 	return Start{ID: id, Produced: r.item.Produced}
 }
 
-// Withdraw takes back an offer or ends a run whose caller left.
+// Withdraw cancels an offer, or stops a run after its caller disconnected.
 func (a *Agent) Withdraw(now time.Time, id string) []Effect {
 	if it, ok := a.queue.Remove(id); ok {
 		a.finish(now, id, a.endState(it.ID))
@@ -148,30 +148,30 @@
 	return ledger.NotRun
 }
 
-// Progress tells how many tokens of the answer there are so far.
+// Progress records the number of tokens of the response produced so far.
 func (a *Agent) Progress(now time.Time, id string, produced int) {
 	r, ok := a.runs[id]
 	if !ok || !r.claimed || produced <= r.produced {
 		return
 	}
 	a.queue.Produced(produced - r.produced)
-	a.made[r.item.Class.Tier-1] += produced - r.produced
+	a.tierTokens[r.item.Class.Tier-1] += produced - r.produced
 	if r.produced == 0 && r.item.Class.FirstToken > 0 {
-		a.learnTrust(r.item.Class, now.Sub(r.item.Arrived) <= r.item.Class.FirstToken)
+		a.adjustSlackFactor(r.item.Class, now.Sub(r.item.Arrived) <= r.item.Class.FirstToken)
 	}
 	if r.produced == 0 {
-		a.prompt += speedRate * float64(now.Sub(r.started)-time.Duration(a.prompt))
+		a.timeToFirstToken += smoothing * float64(now.Sub(r.started)-time.Duration(a.timeToFirstToken))
 	}
 	r.produced = produced
-	r.movedAt = now
-	if d := now.Sub(r.observedAt); d >= minObservation {
+	r.lastTokenAt = now
+	if d := now.Sub(r.observedAt); d >= minSpeedInterval {
 		a.learnSpeed(produced-r.observed, d)
 		r.observed = produced
 		r.observedAt = now
 	}
 }
 
-// Ended tells that an attempt ended at the upstream by itself.
+// Ended handles the end of a run that was not stopped by the agent.
 func (a *Agent) Ended(now time.Time, id string, end End, produced int) []Effect {
 	r, ok := a.runs[id]
 	if !ok || !r.claimed {
@@ -184,7 +184,7 @@
 	case Completed:
 		a.queue.Learn(r.item.Class, max(1, r.produced))
 		if r.item.Class.FirstToken == 0 {
-			a.learnTrust(r.item.Class, now.Sub(r.item.Arrived) <= r.item.Class.Completion)
+			a.adjustSlackFactor(r.item.Class, now.Sub(r.item.Arrived) <= r.item.Class.Completion)
 		}
 		if r.produced <= 1 {
 			a.learnSpeed(1, now.Sub(r.started))
@@ -199,8 +199,8 @@
 	return a.schedule(now)
 }
 
-// Stopped tells that a Stop was carried out. A preempted attempt goes back to
-// the queue, and continues where it was.
+// Stopped handles the completion of a Stop. A preempted attempt returns to the queue
+// and resumes where it was stopped.
 func (a *Agent) Stopped(now time.Time, id string, produced int) []Effect {
 	r, ok := a.runs[id]
 	if !ok || !r.stopping {
@@ -229,14 +229,14 @@
 	delete(a.offers, id)
 }
 
-// release frees the slot of a run.
+// release removes a run and frees its slot.
 func (a *Agent) release(id string) {
 	r := a.runs[id]
 	if r.stopping {
 		a.stopping--
 	}
 	delete(a.runs, id)
-	a.busy--
+	a.busySlots--
 }
 
 func (a *Agent) markStopping(r *run) {
--- a/internal/core/agent/effect.go
+++ b/internal/core/agent/effect.go
@@ -2,44 +2,45 @@
 
 import "time"
 
-// Effect is something that the owner of an Agent carries out. It is one of
-// Grant, Refuse, Start, Stop and Fail.
+// Effect is an action that the owner of an Agent must execute: a Grant, Refuse,
+// Start, Stop or Fail.
 type Effect interface{ effect() }
 
-// Grant reserves a slot; the entry must claim it within TTL, from the
-// incarnation that granted it.
+// Grant reserves a slot. The entry must claim it within TTL, with the incarnation
+// that granted it.
 type Grant struct {
 	ID          string
 	TTL         time.Duration
 	Incarnation string
 }
 
-// Refuse says that the attempt did not run here and never will.
+// Refuse reports that the attempt did not run at this agent and never will.
 type Refuse struct {
 	ID         string
 	Reason     Reason
 	RetryAfter time.Duration
 }
 
-// Start begins or resumes the attempt at the upstream. Produced is the number
-// of tokens that were made before a preemption.
+// Start starts or resumes the attempt at the upstream. Produced is the number of
+// tokens produced before a preemption.
 type Start struct {
 	ID       string
 	Produced int
 }
 
-// Stop ends a running attempt at the upstream; Stopped follows.
+// Stop stops a running attempt at the upstream. The owner then calls Agent.Stopped.
 type Stop struct {
 	ID string
-	// Preempted is true if the attempt goes back to the queue.
+	// Preempted is true if the attempt returns to the queue.
 	Preempted bool
 }
 
-// Fail says that the attempt ran, or may have, and that its answer will not be
-// completed here.
+// Fail reports that the attempt ran or may have run, and that this agent will not
+// complete its response.
 type Fail struct {
 	ID string
-	// AlreadyRun is true for a copy of an attempt that ran before.
+	// AlreadyRun is true for a duplicate of an attempt that has run, or a reused
+	// idempotency key.
 	AlreadyRun bool
 }
 
@@ -49,10 +50,10 @@
 func (Stop) effect()   {}
 func (Fail) effect()   {}
 
-// Reason says why an attempt was not run.
+// Reason is the reason for refusing an attempt.
 type Reason int
 
-// Reasons for a refusal.
+// Refusal reasons.
 const (
 	Overload Reason = iota + 1
 	Expired
@@ -64,7 +65,7 @@
 	UpstreamDown
 )
 
-// String returns the reason as metrics and answers show it.
+// String returns the name of the reason used in metrics and responses.
 func (r Reason) String() string {
 	names := [...]string{
 		"none", "overload", "expired", "leaving", "wrong_incarnation",
--- a/internal/core/agent/keyring.go
+++ b/internal/core/agent/keyring.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// keyState is what became of an idempotency key.
+// keyState is the state of an issued idempotency key.
 type keyState struct {
 	organisation string
 	class        string
@@ -13,14 +13,14 @@
 	issued       time.Time
 }
 
-// keyring holds the keys that this incarnation issued.
+// keyring holds the idempotency keys issued by this incarnation.
 type keyring map[string]*keyState
 
-// keySeparator stands between a key's parts: agent, incarnation and secret.
+// keySeparator separates the parts of a key: agent ID, incarnation and secret.
 const keySeparator = "."
 
-// KeyAgent returns the agent and incarnation that a key is bound to, or false
-// for a key that no entry ever gave out.
+// KeyAgent returns the agent ID and incarnation that a key is bound to. It returns
+// false for a malformed key.
 func KeyAgent(key string) (id, incarnation string, ok bool) {
 	parts := strings.Split(key, keySeparator)
 	if len(parts) != 3 || parts[0] == "" || parts[1] == "" || len(parts[2]) < 16 {
@@ -29,47 +29,47 @@
 	return parts[0], parts[1], true
 }
 
-// IssueKey returns a key that only this incarnation honours. The agent's
-// identity must not hold the separator.
+// IssueKey returns a key that is valid only at this incarnation, and its lifetime.
+// The agent ID must not contain the separator.
 func (a *Agent) IssueKey(now time.Time, id, organisation, class string) (string, time.Duration) {
 	key := strings.Join([]string{id, a.options.Incarnation, a.options.NewKey()}, keySeparator)
 	a.keys[key] = &keyState{organisation: organisation, class: class, issued: now}
-	return key, keepKeys
+	return key, keyTTL
 }
 
-// check returns the effect for an offer with a key that is unknown here or was
-// used before.
+// check returns the effect for an offer whose key is unknown or already used, or
+// nil.
 func (k keyring) check(o Offer) Effect {
-	held, ok := k[o.Key]
-	if !ok || held.organisation != o.Organisation || held.class != o.Class {
+	state, ok := k[o.Key]
+	if !ok || state.organisation != o.Organisation || state.class != o.Class {
 		return Refuse{ID: o.ID, Reason: UnknownKey}
 	}
-	if held.used {
+	if state.used {
 		return Fail{ID: o.ID, AlreadyRun: true}
 	}
 	return nil
 }
 
-// use marks the key; it reports false if another attempt used it first.
+// use marks the key as used. It returns false if another attempt has used it.
 func (k keyring) use(o Offer) bool {
-	held, ok := k[o.Key]
-	if !ok || held.used {
+	state, ok := k[o.Key]
+	if !ok || state.used {
 		return false
 	}
-	held.used = true
+	state.used = true
 	return true
 }
 
-// release lets a key be used again after an attempt that certainly did not run.
+// release makes a key usable again after an attempt that certainly did not run.
 func (k keyring) release(o Offer) {
-	if held, ok := k[o.Key]; ok {
-		held.used = false
+	if state, ok := k[o.Key]; ok {
+		state.used = false
 	}
 }
 
 func (k keyring) sweep(now time.Time) {
-	for key, held := range k {
-		if now.Sub(held.issued) > keepKeys {
+	for key, state := range k {
+		if now.Sub(state.issued) > keyTTL {
 			delete(k, key)
 		}
 	}
--- a/internal/core/agent/lifecycle.go
+++ b/internal/core/agent/lifecycle.go
@@ -10,18 +10,18 @@
 	"github.com/gladegauge/gladegauge/internal/core/queue"
 )
 
-// Drain stops new work. What waits is refused at once as not run, and what
-// runs completes.
+// Drain stops admission. Waiting requests are refused at once as not run, and runs
+// complete.
 func (a *Agent) Drain(now time.Time) []Effect {
 	a.leaving = true
 	return a.refuseWaiting(now, Leaving)
 }
 
-// Leaving reports whether the agent takes no new work.
+// Leaving reports whether the agent is draining.
 func (a *Agent) Leaving() bool { return a.leaving }
 
-// SetDown tells whether the upstream can be reached. While it cannot, what
-// waits and what comes is refused as not run.
+// SetDown records whether the upstream is unreachable. While it is, waiting and new
+// requests are refused as not run.
 func (a *Agent) SetDown(now time.Time, down bool) []Effect {
 	if a.down == down {
 		return nil
@@ -34,22 +34,25 @@
 	return a.schedule(now)
 }
 
-// Rest notes that the upstream refused a request and wants nothing for the time. What runs
-// there goes on; what waits and what comes is refused as not run, with the time that is
-// left. Without it the agent sent such an upstream the next request at once.
+// Rest starts a backoff of the given duration after the upstream refused a request.
+// Runs continue; waiting and new requests are refused as not run, with the remaining
+// backoff as the retry delay. Without the backoff, the agent would send the next
+// request to the refusing upstream at once.
 func (a *Agent) Rest(now time.Time, d time.Duration) []Effect {
-	before := a.said.RestUntil()
-	a.said = a.said.With(now, notice.Notice{Rest: d})
-	if !a.said.RestUntil().After(before) {
+	before := a.notices.RestUntil()
+	a.notices = a.notices.With(now, notice.Notice{Rest: d})
+	if !a.notices.RestUntil().After(before) {
 		return nil
 	}
 	return a.refuseWaiting(now, UpstreamDown)
 }
 
-// restLeft is how long the upstream still wants nothing; 0 if it does not rest.
-func (a *Agent) restLeft(now time.Time) time.Duration { return max(0, a.said.RestUntil().Sub(now)) }
+// backoffLeft returns the remaining backoff of the upstream, or 0.
+func (a *Agent) backoffLeft(now time.Time) time.Duration {
+	return max(0, a.notices.RestUntil().Sub(now))
+}
 
-// refuseWaiting refuses all that waits and was never started.
+// refuseWaiting refuses all waiting and unclaimed requests that were never started.
 func (a *Agent) refuseWaiting(now time.Time, reason Reason) []Effect {
 	var effects []Effect
 	for _, it := range a.queue.All() {
@@ -67,7 +70,7 @@
 	return effects
 }
 
-// unclaimed returns the attempts with a grant that was not claimed.
+// unclaimed returns the IDs of the attempts whose grant is not claimed yet.
 func (a *Agent) unclaimed() []string {
 	var ids []string
 	for id, r := range a.runs {
@@ -79,9 +82,9 @@
 	return ids
 }
 
-// Tick lets time pass: grants and requests expire. After a gap longer than the
-// lease the agent was paused, and refuses all that waits, since its entries
-// have moved on.
+// Tick expires grants and requests and stops lost runs. After a gap longer than
+// Lease, the process was paused; the agent then refuses all waiting requests, since
+// their entries have given up on them.
 func (a *Agent) Tick(now time.Time) []Effect {
 	paused := a.paused(now)
 	if !a.lastTick.IsZero() {
@@ -103,14 +106,14 @@
 		}
 	}
 	for _, it := range a.queue.Expired(now) {
-		effects = append(effects, a.giveUp(now, it))
+		effects = append(effects, a.expire(now, it))
 	}
-	effects = append(effects, a.giveUpRuns(now)...)
+	effects = append(effects, a.stopLostRuns(now)...)
 	return append(effects, a.schedule(now)...)
 }
 
-// giveUp ends a request that can no longer matter.
-func (a *Agent) giveUp(now time.Time, it *queue.Item) Effect {
+// expire ends a request whose response would arrive too late to be useful.
+func (a *Agent) expire(now time.Time, it *queue.Item) Effect {
 	if a.ledger.State(it.ID).Started() {
 		a.finish(now, it.ID, ledger.Ran)
 		return Fail{ID: it.ID}
@@ -118,14 +121,14 @@
 	return a.refuse(now, it.ID, Expired, it.Class)
 }
 
-// giveUpRuns stops the runs of an upstream that has been down for a while, and
-// those that make no tokens although their class asks for a first one. It may
-// hang without breaking its connections, also while it answers health checks.
-func (a *Agent) giveUpRuns(now time.Time) []Effect {
-	down := a.down && now.Sub(a.downAt) >= giveUpAfter
+// stopLostRuns stops all runs of an upstream that has been down for the grace period,
+// and stalled runs of classes with a first-token target. An upstream may hang without
+// closing its connections, even while it passes health checks.
+func (a *Agent) stopLostRuns(now time.Time) []Effect {
+	down := a.down && now.Sub(a.downAt) >= downGracePeriod
 	var effects []Effect
 	for _, r := range a.running() {
-		if r.claimed && !r.stopping && (down || r.stuck(now)) {
+		if r.claimed && !r.stopping && (down || r.stalled(now)) {
 			r.lost = true
 			a.markStopping(r)
 			effects = append(effects, Stop{ID: r.item.ID})
@@ -141,12 +144,13 @@
 func (a *Agent) refuse(now time.Time, id string, reason Reason, class *config.Class) Effect {
 	a.finish(now, id, ledger.NotRun)
 	if reason == UpstreamDown {
-		return Refuse{ID: id, Reason: reason, RetryAfter: a.restLeft(now)}
+		return Refuse{ID: id, Reason: reason, RetryAfter: a.backoffLeft(now)}
 	}
 	return Refuse{ID: id, Reason: reason, RetryAfter: a.retryAfter(reason, class)}
 }
 
-// retryAfter is when a new request of the class can be expected to be served.
+// retryAfter returns the delay after which a new request of the class can be
+// expected to be served.
 func (a *Agent) retryAfter(reason Reason, class *config.Class) time.Duration {
 	if reason != Overload && reason != Expired {
 		return 0
--- a/internal/core/agent/load.go
+++ b/internal/core/agent/load.go
@@ -6,109 +6,110 @@
 	"github.com/gladegauge/gladegauge/internal/core/config"
 )
 
-// Load is what the agent tells entries about itself with every answer.
+// Load is the load that the agent reports to entries with every response.
 type Load struct {
 	FreeSlots int
 	Queued    int
-	// Wait is the expected wait of a new request by tier; index 0 is tier 1.
+	// Wait is the expected wait of a new request by tier. Index 0 is tier 1.
 	Wait    [config.Tiers]time.Duration
 	Leaving bool
 }
 
-// Load returns the present load.
+// Load returns the current load.
 func (a *Agent) Load() Load {
 	l := Load{
-		FreeSlots: max(0, a.slots-a.busy),
+		FreeSlots: max(0, a.slots-a.busySlots),
 		Queued:    a.queue.Len(),
 		Leaving:   a.leaving,
 	}
 	for tier := 1; tier <= config.Tiers; tier++ {
-		l.Wait[tier-1] = a.wait(typical(tier), a.meanCost())
+		l.Wait[tier-1] = a.wait(typicalClass(tier), a.meanCost())
 	}
 	return l
 }
 
-// typical stands for the classes of a tier in what entries are told.
-func typical(tier int) *config.Class {
+// typicalClass returns a class that represents a tier in load reports.
+func typicalClass(tier int) *config.Class {
 	return &config.Class{Tier: tier, Protected: tier <= protectedTiers}
 }
 
-// protectedTiers are the tiers whose classes are usually protected.
+// protectedTiers is the number of highest tiers whose classes are usually protected.
 const protectedTiers = 2
 
-// wait is the expected time until a new request of the class starts, when one
+// wait returns the expected time until a new request of the class starts, if each
 // request takes cost tokens.
 func (a *Agent) wait(class *config.Class, cost float64) time.Duration {
 	d, _ := a.waitFor(class, cost)
 	return d
 }
 
-// waitFor also returns the number of requests that are waited for.
+// waitFor returns the same as wait, and the number of requests waited for.
 func (a *Agent) waitFor(class *config.Class, cost float64) (time.Duration, float64) {
 	requests, tokens := a.queue.Ahead(class.Tier)
-	open := float64(a.slots - a.busy + a.stopping + a.preemptible(class))
-	if requests < open {
+	free := float64(a.slots - a.busySlots + a.stopping + a.preemptible(class))
+	if requests < free {
 		return 0, 0
 	}
 	if requests > 0 {
 		cost = tokens / requests
 	}
-	turns := requests - max(0, open) + 1
-	seconds := turns * cost / a.available(class)
-	return time.Duration(seconds * float64(time.Second)), turns
+	completions := requests - max(0, free) + 1
+	seconds := completions * cost / a.available(class)
+	return time.Duration(seconds * float64(time.Second)), completions
 }
 
-// available is the tokens a second that are left to a class by the tiers above
-// its own. A class that can wait long looks further back, since a burst that
-// goes on now may end before its target.
+// available returns the tokens per second that higher tiers leave to a class. For a
+// class with a long target it averages over a longer window, since a current burst
+// may end before the target.
 func (a *Agent) available(class *config.Class) float64 {
 	window := shortWindow
-	if class.StartTarget() > longTarget {
+	if class.StartTarget() > longWindowTarget {
 		window = longWindow
 	}
 	all := a.speed * float64(a.slots)
 	left := all
 	for above := 1; above < class.Tier; above++ {
-		left -= a.rates[window][above-1]
+		left -= a.tierRates[window][above-1]
 	}
-	return max(left, minAvailable*all)
+	return max(left, minAvailableShare*all)
 }
 
-// The windows over which the rates of tiers are learnt.
+// Windows of the moving averages in tierRates.
 const (
 	shortWindow = iota
 	longWindow
 	windows
 )
 
-// windowLengths are the times of the windows.
+// windowLengths are the durations of the windows.
 var windowLengths = [windows]time.Duration{10 * time.Second, 5 * time.Minute}
 
-// longTarget is the target from which a class looks back over the long window.
-const longTarget = 30 * time.Second
+// longWindowTarget is the start target above which a class uses the long window.
+const longWindowTarget = 30 * time.Second
 
-// learnRates takes the tokens made by each tier since the last tick.
+// learnRates updates the token rates of the tiers after a time d since the last
+// tick.
 func (a *Agent) learnRates(d time.Duration) {
 	if d <= 0 {
 		return
 	}
-	for tier, tokens := range a.made {
+	for tier, tokens := range a.tierTokens {
 		observed := float64(tokens) / d.Seconds()
 		for w, length := range windowLengths {
-			// Rates begin at 0: a burst at the start may end soon.
+			// Rates start at 0, since a burst at startup may end soon.
 			weight := min(1, d.Seconds()/length.Seconds())
-			a.rates[w][tier] += weight * (observed - a.rates[w][tier])
+			a.tierRates[w][tier] += weight * (observed - a.tierRates[w][tier])
 		}
-		a.made[tier] = 0
+		a.tierTokens[tier] = 0
 	}
 }
 
-// meanCost is the mean of tokens over the running requests' classes.
+// meanCost returns the mean of the expected tokens of the running requests.
 func (a *Agent) meanCost() float64 {
 	if len(a.runs) == 0 {
 		return a.options.Tokens
 	}
-	// Whole tokens: a sum of floats would depend on the order of the map.
+	// Sums integers: a sum of floats would depend on map iteration order.
 	sum := 0
 	for _, r := range a.runs {
 		sum += int(a.queue.Cost(r.item.Class))
@@ -116,26 +117,28 @@
 	return max(1, float64(sum)/float64(len(a.runs)))
 }
 
-// lead is the time that a request of the class needs from its start to meet
-// its target: to the first token, or for most answers to the end.
+// lead returns the estimated time from the start of a request until it meets its
+// target: the time to the first token or, for a completion target, to the end of
+// a response of the class's upper length quantile.
 func (a *Agent) lead(class *config.Class) time.Duration {
-	lead := time.Duration(a.prompt)
+	lead := time.Duration(a.timeToFirstToken)
 	if class.FirstToken == 0 {
 		lead += time.Duration(a.queue.Long(class) / a.speed * float64(time.Second))
 	}
 	return min(lead, time.Duration(maxLead*float64(class.StartTarget())))
 }
 
-// learnSpeed takes an observation of tokens made in a time by one run.
+// learnSpeed updates the speed estimate with the tokens that one run produced in
+// time d.
 func (a *Agent) learnSpeed(tokens int, d time.Duration) {
 	if d <= 0 || tokens <= 0 {
 		return
 	}
 	observed := float64(tokens) / d.Seconds()
-	if !a.measured {
-		a.measured = true
+	if !a.speedMeasured {
+		a.speedMeasured = true
 		a.speed = observed
 		return
 	}
-	a.speed += speedRate * (observed - a.speed)
+	a.speed += smoothing * (observed - a.speed)
 }
--- a/internal/core/agent/offer.go
+++ b/internal/core/agent/offer.go
@@ -4,14 +4,15 @@
 
 // Offer asks the agent for a slot.
 type Offer struct {
-	// ID identifies the attempt; no two attempts share one.
+	// ID is the unique ID of the attempt.
 	ID string
-	// Incarnation is the agent's own, or empty for any.
+	// Incarnation is the required incarnation of the agent, or empty for any.
 	Incarnation  string
 	Class        string
 	Organisation string
 	Weight       float64
-	// Arrived is when the request reached its entry, by the agent's clock.
+	// Arrived is the time at which the request reached its entry, by the agent's
+	// clock.
 	Arrived time.Time
 	// Copies is the number of agents that hold the request.
 	Copies int
@@ -19,15 +20,16 @@
 	Key string
 }
 
-// End is how an attempt ended at the upstream.
+// End is the way in which a run ended at the upstream.
 type End int
 
-// Ends of an attempt.
+// Ends of a run.
 const (
-	// Completed means that the whole answer was made.
+	// Completed means that the whole response was produced.
 	Completed End = iota + 1
-	// Cut means that the upstream broke off or the caller left.
+	// Cut means that the upstream closed the connection early or the caller
+	// disconnected.
 	Cut
-	// NeverRan means that the upstream certainly did not take the request.
+	// NeverRan means that the upstream certainly did not accept the request.
 	NeverRan
 )
--- a/internal/core/agent/run.go
+++ b/internal/core/agent/run.go
@@ -10,28 +10,29 @@
 // run is an attempt that holds a slot.
 type run struct {
 	item *queue.Item
-	// claimed is false while the grant awaits its entry.
+	// claimed is false until the entry claims the grant.
 	claimed bool
 	floor   bool
-	// stopping is true after a Stop and before its Stopped.
+	// stopping is true between a Stop effect and the call of Stopped.
 	stopping  bool
 	withdrawn bool
-	// lost is true if the run was given up because its upstream is down, or
-	// makes nothing.
+	// lost is true if the run was stopped because its upstream is down or it
+	// produced no tokens.
 	lost    bool
 	granted time.Time
 	started time.Time
-	// movedAt is when the run was started or last made a token.
-	movedAt time.Time
-	// produced is the number of tokens of the whole answer so far.
+	// lastTokenAt is the time of the last token, or of the start before the first.
+	lastTokenAt time.Time
+	// produced is the number of tokens of the whole response so far.
 	produced int
-	// observed and observedAt are the last point of the speed measurement.
+	// observed and observedAt are the last sample of the speed measurement.
 	observed   int
 	observedAt time.Time
 }
 
-// preemptibleFor reports whether a request of the class may take the slot. A
-// run yields to other than protected classes only so often, against thrashing.
+// preemptibleFor reports whether a request of the class may preempt the run.
+// Unprotected classes may preempt a run at most maxPreemptions times, which prevents
+// thrashing.
 func (r *run) preemptibleFor(class *config.Class) bool {
 	return r.claimed &&
 		!r.stopping &&
@@ -42,7 +43,8 @@
 		(class.Protected || r.item.Preemptions < maxPreemptions)
 }
 
-// stuck reports whether the run has made nothing for long.
-func (r *run) stuck(now time.Time) bool {
-	return r.item.Class.FirstToken > 0 && now.Sub(r.movedAt) >= stuckAfter
+// stalled reports whether the run has produced no token for stallTimeout. It applies
+// only to classes with a first-token target.
+func (r *run) stalled(now time.Time) bool {
+	return r.item.Class.FirstToken > 0 && now.Sub(r.lastTokenAt) >= stallTimeout
 }
--- a/internal/core/agent/schedule.go
+++ b/internal/core/agent/schedule.go
@@ -7,21 +7,21 @@
 	"github.com/gladegauge/gladegauge/internal/core/ledger"
 )
 
-// schedule grants free slots in order, and preempts lower tiers for requests
-// that would otherwise be late.
+// schedule grants free slots in queue order, and preempts runs of lower tiers for
+// requests that would otherwise be late.
 func (a *Agent) schedule(now time.Time) []Effect {
 	var effects []Effect
-	if a.down || a.restLeft(now) > 0 {
+	if a.down || a.backoffLeft(now) > 0 {
 		return nil
 	}
-	for a.busy < a.slots {
-		choice, ok := a.queue.Pop(now, a.floorOpen())
+	for a.busySlots < a.slots {
+		choice, ok := a.queue.Pop(now, a.floorSlotFree())
 		if !ok {
 			return effects
 		}
 		r := &run{item: choice.Item, floor: choice.Floor, granted: now}
 		a.runs[choice.Item.ID] = r
-		a.busy++
+		a.busySlots++
 		effects = append(effects, a.grant(now, r))
 	}
 	if !a.options.NoPreemption {
@@ -30,20 +30,20 @@
 	return effects
 }
 
-// floorOpen reports whether another run may begin on a floor share. Such runs
-// cannot be preempted, so only as many run at a time as the shares stand for.
-func (a *Agent) floorOpen() bool {
+// floorSlotFree reports whether another run may start on a floor share. Such runs
+// cannot be preempted, so their concurrency is limited in proportion to the slots.
+func (a *Agent) floorSlotFree() bool {
 	n := 0
 	for _, r := range a.runs {
 		if r.floor {
 			n++
 		}
 	}
-	return n < max(1, a.slots/floorSlots)
+	return n < max(1, a.slots/slotsPerFloorRun)
 }
 
-// grant offers the slot to the entry, or continues a preempted run that its
-// entry has claimed before.
+// grant grants the slot to the entry, or resumes a preempted run, which its entry has
+// claimed before.
 func (a *Agent) grant(now time.Time, r *run) Effect {
 	id := r.item.ID
 	if a.ledger.State(id).Started() {
@@ -53,15 +53,16 @@
 	return Grant{ID: id, TTL: GrantTTL, Incarnation: a.options.Incarnation}
 }
 
-// makeRoom stops runs of lower tiers for what waits, before a protected
-// request is refused for overload: none is ever refused while such runs go on.
-func (a *Agent) makeRoom(class *config.Class) []Effect {
+// preemptForProtected stops runs of lower tiers for waiting requests before a
+// protected request is refused for overload. No protected request is refused while
+// such runs continue.
+func (a *Agent) preemptForProtected(class *config.Class) []Effect {
 	if !class.Protected || a.options.NoPreemption {
 		return nil
 	}
 	var effects []Effect
 	for a.stopping < a.queue.WaitingAbove(class.Tier+1) {
-		stop, ok := a.stopOne(class)
+		stop, ok := a.preemptOne(class)
 		if !ok {
 			break
 		}
@@ -70,8 +71,8 @@
 	return effects
 }
 
-// preempt stops runs of lower tiers, one for each urgent request that no
-// stopping run makes room for yet.
+// preempt stops runs of lower tiers, one for each urgent request that will not get
+// the slot of a run that is already stopping.
 func (a *Agent) preempt(now time.Time) []Effect {
 	var effects []Effect
 	for {
@@ -83,7 +84,7 @@
 		if a.stopping >= a.queue.WaitingAbove(class.Tier+1) {
 			return effects
 		}
-		stop, ok := a.stopOne(class)
+		stop, ok := a.preemptOne(class)
 		if !ok {
 			return effects
 		}
@@ -91,8 +92,8 @@
 	}
 }
 
-// stopOne stops the run that yields first to a request of the class.
-func (a *Agent) stopOne(class *config.Class) (Stop, bool) {
+// preemptOne stops the best victim for a request of the class.
+func (a *Agent) preemptOne(class *config.Class) (Stop, bool) {
 	victim := a.victim(class)
 	if victim == nil {
 		return Stop{}, false
@@ -101,29 +102,30 @@
 	return Stop{ID: victim.item.ID, Preempted: true}, true
 }
 
-// urgent reports whether a request with this slack cannot wait for a slot to
-// become free by itself.
+// urgent reports whether a request with this slack cannot wait until a run completes
+// and releases its slot.
 func (a *Agent) urgent(slack time.Duration) bool {
-	natural := a.meanCost() / (a.speed * float64(a.slots))
-	return slack.Seconds() < urgentWaits*natural
+	slotInterval := a.meanCost() / (a.speed * float64(a.slots))
+	return slack.Seconds() < urgencyFactor*slotInterval
 }
 
-// victim returns the run of the lowest tier that a request of the class may
-// preempt, and of those the one with the least work done.
+// victim returns the run that a request of the class should preempt: one of the
+// lowest tier and, within that tier, the one with the fewest tokens produced. It
+// returns nil if no run may be preempted.
 func (a *Agent) victim(class *config.Class) *run {
 	var best *run
 	for _, r := range a.running() {
 		if !r.preemptibleFor(class) {
 			continue
 		}
-		if best == nil || yieldsFirst(r, best) {
+		if best == nil || betterVictim(r, best) {
 			best = r
 		}
 	}
 	return best
 }
 
-func yieldsFirst(a, b *run) bool {
+func betterVictim(a, b *run) bool {
 	if a.item.Class.Tier != b.item.Class.Tier {
 		return a.item.Class.Tier > b.item.Class.Tier
 	}
