--- a/internal/core/agent/admit.go
+++ b/internal/core/agent/admit.go
@@ -83,7 +83,7 @@
 }
 
 // canEvict reports whether the newcomer may take the place of the victim: the victim
-// was never started and belongs to another organisation, whose turn comes later.
+// was never started, belongs to another organisation and would run after the newcomer.
 func (a *Agent) canEvict(victim, newcomer *queue.Item) bool {
 	if a.ledger.State(victim.ID).Started() || victim.Organisation == newcomer.Organisation {
 		return false
--- a/internal/core/burn/burn.go
+++ b/internal/core/burn/burn.go
@@ -1,13 +1,14 @@
-// Package burn counts how fast service levels use up their error budget.
+// Package burn computes the burn rates of the error budgets of service level
+// objectives.
 //
-// Each entry keeps a count of requests and misses by class, organisation and
-// minute for an hour, and by hour for one day. Cells of all entries are merged by adding them up, so no
-// entry needs to know of another.
+// Each entry counts requests and misses by class and organisation: by minute for one
+// hour, and by hour for one day. The cells of all entries are merged by addition, so
+// entries need not know of each other.
 //
 // # Usage
 //
 //	l.Add(now, "counter", "reef-telecom", burn.Miss)
-//	report := burn.NewReport(cells, classes, now)
+//	lines := burn.Report(now, burn.Merge(cells...), objectives, true)
 package burn
 
 import (
@@ -16,21 +17,21 @@
 	"time"
 )
 
-// Keep is how long cells are kept.
+// Keep is the retention of cells.
 const Keep = 24 * time.Hour
 
-// fine is how long minutes are kept apart; after it they are joined by hours.
-const fine = time.Hour
+// minuteRetention is the age after which the cells of minutes are merged by hour.
+const minuteRetention = time.Hour
 
 const minutesPerHour = 60
 
-// maxCells bounds the memory of one entry.
+// maxCells is the limit of cells of a ledger, which bounds the memory of an entry.
 const maxCells = 30000
 
-// Others stands for organisations whose cells were joined to save memory.
+// Others is the organisation of cells that were merged to save memory.
 const Others = "(others)"
 
-// Kind is what became of a request.
+// Kind is the outcome of a request with respect to its objective.
 type Kind int
 
 // Kinds of outcome.
@@ -44,12 +45,12 @@
 type Key struct {
 	Class        string
 	Organisation string
-	// Minute is the number of minutes since 1970.
+	// Minute is the number of minutes since the Unix epoch.
 	Minute int64
 }
 
-// Cell counts the requests of one class, organisation and minute. Refused
-// requests are missed ones too.
+// Cell counts the requests of one class, organisation and minute. Missed includes
+// the refused requests.
 type Cell struct {
 	Key
 	Total   uint64
@@ -68,7 +69,7 @@
 	return &Ledger{cells: make(map[Key]*Cell)}
 }
 
-// Minute returns the number of minutes since 1970.
+// Minute returns the number of minutes since the Unix epoch.
 func Minute(now time.Time) int64 { return now.Unix() / 60 }
 
 // Add counts one request.
@@ -76,7 +77,7 @@
 	minute := Minute(now)
 	if minute > l.minute {
 		l.minute = minute
-		l.tidy()
+		l.compact()
 	}
 	add := Cell{Key: Key{Class: class, Organisation: organisation, Minute: minute}, Total: 1}
 	if k != Hit {
@@ -99,23 +100,24 @@
 	c.Refused += add.Refused
 }
 
-// tidy drops what is older than a day, joins the minutes of past hours, and
-// joins the organisations of the oldest time while there are too many cells.
-func (l *Ledger) tidy() {
+// compact deletes cells older than Keep and merges cells older than minuteRetention
+// by hour. While there are more than maxCells cells, it merges the organisations of
+// the oldest minute.
+func (l *Ledger) compact() {
 	day := l.minute - int64(Keep/time.Minute)
-	hour := l.minute - int64(fine/time.Minute)
-	l.rewrite(func(k Key) (Key, bool) {
+	hour := l.minute - int64(minuteRetention/time.Minute)
+	l.rekey(func(k Key) (Key, bool) {
 		if k.Minute < hour {
 			k.Minute -= k.Minute % minutesPerHour
 		}
 		return k, k.Minute >= day
 	})
 	for len(l.cells) > maxCells {
-		oldest, ok := l.oldestNamed()
+		oldest, ok := l.oldestWithOrganisations()
 		if !ok {
 			return
 		}
-		l.rewrite(func(k Key) (Key, bool) {
+		l.rekey(func(k Key) (Key, bool) {
 			if k.Minute == oldest {
 				k.Organisation = Others
 			}
@@ -124,8 +126,9 @@
 	}
 }
 
-// rewrite moves each cell to another key, or drops it.
-func (l *Ledger) rewrite(move func(Key) (Key, bool)) {
+// rekey applies move to the key of each cell. It merges the cell into the new key, or
+// deletes it if move returns false.
+func (l *Ledger) rekey(move func(Key) (Key, bool)) {
 	for key, c := range l.cells {
 		next, keep := move(key)
 		if next == key && keep {
@@ -140,8 +143,9 @@
 	}
 }
 
-// oldestNamed is the oldest time with organisations of their own.
-func (l *Ledger) oldestNamed() (int64, bool) {
+// oldestWithOrganisations returns the oldest past minute with cells that are not
+// merged into Others.
+func (l *Ledger) oldestWithOrganisations() (int64, bool) {
 	oldest, found := l.minute, false
 	for key := range l.cells {
 		if key.Organisation != Others && key.Minute < l.minute {
@@ -151,7 +155,7 @@
 	return oldest, found
 }
 
-// Cells returns all cells in order.
+// Cells returns all cells, ordered by class, organisation and minute.
 func (l *Ledger) Cells() []Cell {
 	cells := make([]Cell, 0, len(l.cells))
 	for _, c := range l.cells {
--- a/internal/core/burn/burn_test.go
+++ b/internal/core/burn/burn_test.go
@@ -35,8 +35,8 @@
 	is.True(math.Abs(lines[1].Left-(1-100)) < 1e-9)
 }
 
-// TestLedgerIsBounded sends from many organisations: the ledger stays small,
-// and no class loses a count.
+// TestLedgerIsBounded adds requests of many organisations. The number of cells must
+// stay bounded without losing a count of the class.
 func TestLedgerIsBounded(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
@@ -55,7 +55,7 @@
 	is.Equal(total, uint64(minutes*each))
 }
 
-func TestLedgerForgets(t *testing.T) {
+func TestLedgerDeletesOldCells(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	l := NewLedger()
--- a/internal/core/burn/report.go
+++ b/internal/core/burn/report.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Windows are the times over which burn is reported, the shortest first.
+// Windows are the time windows of the reported burn rates, the shortest first.
 var Windows = []time.Duration{5 * time.Minute, time.Hour, 6 * time.Hour, 24 * time.Hour}
 
-// Rate is the burn of one window. 1 means that the budget of the window is
-// used up exactly at its end.
+// Rate is the burn rate over one window. At a Burn of 1 the error budget of the
+// window is exhausted exactly at its end.
 type Rate struct {
 	Window  time.Duration
 	Total   uint64
@@ -20,32 +20,33 @@
 	Burn    float64
 }
 
-// Line is the burn of one class, and of one organisation if it is named.
+// Line is the report for one class, or for one organisation within the class if
+// Organisation is set.
 type Line struct {
 	Class        string
 	Organisation string
 	Objective    float64
 	Rates        []Rate
-	// Left is the part of the longest window's budget that is left.
+	// Left is the remaining fraction of the error budget of the longest window.
 	Left float64
-	// UsedUpIn is the time until nothing is left at the rate of the last hour;
-	// 0 if that is never.
+	// UsedUpIn is the time until the budget is exhausted at the burn rate of the last
+	// hour. It is 0 if the rate is 0 or the budget is already exhausted.
 	UsedUpIn time.Duration
 }
 
-// Merge adds up the cells of all entries.
+// Merge adds up the cells of several entries.
 func Merge(entries ...[]Cell) []Cell {
 	sum := make(map[Key]*Cell)
 	for _, cells := range entries {
 		for _, c := range cells {
-			held, ok := sum[c.Key]
+			cell, ok := sum[c.Key]
 			if !ok {
-				held = &Cell{Key: c.Key}
-				sum[c.Key] = held
+				cell = &Cell{Key: c.Key}
+				sum[c.Key] = cell
 			}
-			held.Total += c.Total
-			held.Missed += c.Missed
-			held.Refused += c.Refused
+			cell.Total += c.Total
+			cell.Missed += c.Missed
+			cell.Refused += c.Refused
 		}
 	}
 	out := make([]Cell, 0, len(sum))
@@ -56,8 +57,9 @@
 	return out
 }
 
-// Report returns a line for each class, and with organisations one for each
-// that used it. Objectives are by class; a class without one is left out.
+// Report returns a line for each class and, if organisations is true, one for each
+// organisation with requests of the class. objectives maps classes to their
+// objectives; classes without one are omitted.
 func Report(now time.Time, cells []Cell, objectives map[string]float64, organisations bool) []Line {
 	type name struct{ class, organisation string }
 	groups := make(map[name][]Cell)
--- a/internal/core/entry/entry.go
+++ b/internal/core/entry/entry.go
@@ -1,7 +1,8 @@
-// Package entry decides for one entry host which requests go on, and where.
+// Package entry implements admission and agent selection for one entry host.
 //
-// It joins the organisations' limits, the gates, the table of agents and the
-// retry budgets. It has no input or output, and it is owned by one goroutine.
+// It combines the rate limits of the organisations, the overload gates, the routing
+// table of agents and the retry budgets. It performs no I/O and must be used by one
+// goroutine.
 //
 // # Usage
 //
@@ -32,7 +33,8 @@
 type Options struct {
 	Route    route.Options
 	Dispatch dispatch.Options
-	// NoGates sends every request to the agents; the baseline.
+	// NoGates ignores closed gates, so every request is offered to agents. It is
+	// the baseline in comparisons.
 	NoGates bool
 }
 
@@ -61,37 +63,38 @@
 	}
 }
 
-// Config returns the configuration in force.
+// Config returns the current configuration.
 func (e *Entry) Config() *config.Config { return e.cfg }
 
-// SetConfig takes a new configuration into force.
+// SetConfig applies a new configuration.
 func (e *Entry) SetConfig(cfg *config.Config) { e.cfg = cfg }
 
-// SetMembers takes a new list of hosts into force.
+// SetMembers applies a new list of hosts.
 func (e *Entry) SetMembers(set *member.Set) {
 	e.set = set
 	e.table.SetMembers(set)
 }
 
-// Members returns the list of hosts in force.
+// Members returns the current list of hosts.
 func (e *Entry) Members() *member.Set { return e.set }
 
-// Table returns the entry's view of the agents.
+// Table returns the entry's routing table of agents.
 func (e *Entry) Table() *route.Table { return e.table }
 
-// Call is one caller's request.
+// Call is a request received from a caller.
 type Call struct {
 	Organisation *config.Organisation
 	Class        *config.Class
 	Pool         *config.Pool
 	Prefix       uint64
-	// Bound is the agent of an idempotency key, or zero.
+	// Bound is the agent that issued the call's idempotency key, or zero.
 	Bound member.Host
 }
 
-// Rejection says why a request does not go on. It did not run.
+// Rejection is the reason why a request was not admitted. The request did not run.
 type Rejection struct {
-	// Limited is true for the organisation's rate limit, false for overload.
+	// Limited is true if the organisation's rate limit was exceeded, and false for
+	// overload.
 	Limited    bool
 	RetryAfter time.Duration
 }
@@ -102,7 +105,7 @@
 	key gate.Key
 }
 
-// Admit takes a request in, or rejects it at once.
+// Admit admits a request or rejects it at once.
 func (e *Entry) Admit(now time.Time, c Call) (*Ticket, *Rejection) {
 	if wait, ok := e.limiter.Take(now, c.Organisation, e.set.Entries()); !ok {
 		return nil, &Rejection{Limited: true, RetryAfter: wait}
@@ -118,8 +121,8 @@
 		Prefix:  c.Prefix,
 		Bound:   c.Bound,
 	}
-	seams := dispatch.Seams{Pick: e.table.Pick, Spend: e.budget(c.Pool.Name).Spend}
-	return &Ticket{Request: dispatch.New(spec, e.options.Dispatch, seams), key: key}, nil
+	callbacks := dispatch.Seams{Pick: e.table.Pick, Spend: e.budget(c.Pool.Name).Spend}
+	return &Ticket{Request: dispatch.New(spec, e.options.Dispatch, callbacks), key: key}, nil
 }
 
 func (e *Entry) budget(pool string) *retry.Budget {
@@ -131,18 +134,19 @@
 	return b
 }
 
-// Heard takes an agent's load.
+// Heard records the load that an agent reported.
 func (e *Entry) Heard(now time.Time, id string, l agent.Load) {
 	e.table.Answered(now, id, l)
 }
 
-// Settled tells that an offer to the agent has its first answer.
+// Settled records the first response of an agent to an offer.
 func (e *Entry) Settled(id string) { e.table.Settled(id) }
 
-// Lost tells that an agent could not be reached or its upstream broke off.
+// Lost records that an agent was unreachable or that its upstream closed the
+// connection early.
 func (e *Entry) Lost(now time.Time, id string) { e.table.Failed(now, id) }
 
-// Finished takes the outcome of a request; id is the agent that ran it, if any.
+// Finished records the outcome of a request. id is the agent that ran it, if any.
 func (e *Entry) Finished(now time.Time, t *Ticket, id string, o dispatch.Outcome) {
 	switch {
 	case o.Result == dispatch.Completed:
--- a/internal/core/entry/entry_test.go
+++ b/internal/core/entry/entry_test.go
@@ -78,12 +78,12 @@
 	}{
 		{"offered", "ruling", "club", func(*Entry) {}, "offered", "within the target"},
 		{"unknown class", "vip", "", func(*Entry) {}, "rejected", "no class"},
-		{"not its own", "report", "club", func(*Entry) {}, "rejected", "not open"},
-		{"all leave", "ruling", "", func(e *Entry) {
+		{"class not open to the organisation", "report", "club", func(*Entry) {}, "rejected", "not open"},
+		{"all agents are leaving", "ruling", "", func(e *Entry) {
 			e.Heard(t0, "a1", agent.Load{Leaving: true})
 			e.Heard(t0, "a2", agent.Load{Leaving: true})
 		}, "refused", "none of 2"},
-		{"long waits", "ruling", "", func(e *Entry) {
+		{"expected wait above the target", "ruling", "", func(e *Entry) {
 			for _, id := range []string{"a1", "a2"} {
 				e.Heard(t0, id, agent.Load{Wait: [config.Tiers]time.Duration{time.Minute}})
 			}
--- a/internal/core/entry/explain.go
+++ b/internal/core/entry/explain.go
@@ -9,15 +9,15 @@
 	"github.com/gladegauge/gladegauge/internal/core/route"
 )
 
-// Explanation tells what would become of a request now, and why.
+// Explanation describes the expected handling of a request and the reasons for it.
 type Explanation struct {
 	Decision   string
 	Reasons    []string
 	Candidates []route.State
 }
 
-// Explain judges a request of a class without taking one in. The organisation
-// may be empty.
+// Explain returns the expected handling of a request of a class without admitting
+// one. organisation may be empty.
 func (e *Entry) Explain(now time.Time, className, organisation string) Explanation {
 	class, ok := e.cfg.Class(className)
 	if !ok {
--- a/internal/core/ledger/ledger.go
+++ b/internal/core/ledger/ledger.go
@@ -1,8 +1,8 @@
-// Package ledger remembers what became of each attempt at one agent.
+// Package ledger records the state of each attempt at one agent.
 //
-// A refused attempt leaves a tombstone, so that a late copy is refused too. A
-// started attempt is never started again. Records are kept for the life of an
-// attempt's messages, then forgotten in order of their age.
+// A refused attempt leaves a tombstone, so that a late duplicate is refused too. A
+// started attempt is never started again. Final records must be retained for as long
+// as messages of the attempt may arrive; they are deleted from the oldest on.
 //
 // # Usage
 //
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// State is what became of an attempt.
+// State is the state of an attempt.
 type State int
 
 // States of an attempt. NotRun and Ran are final.
@@ -30,38 +30,38 @@
 	Ran
 )
 
-// Started reports whether the upstream has, or may have, begun the attempt.
+// Started reports whether the upstream has or may have started the attempt.
 func (s State) Started() bool { return s == Running || s == Ran }
 
-// Live reports whether the attempt waits, holds a slot or runs.
+// Live reports whether the attempt is waiting, holds a granted slot or is running.
 func (s State) Live() bool { return s == Waiting || s == Granted || s == Running }
 
-// Final reports whether nothing more can happen to the attempt.
+// Final reports whether the state is final.
 func (s State) Final() bool { return s == NotRun || s == Ran }
 
 type record struct {
-	id    string
-	state State
-	at    time.Time
-	place *list.Element
+	id      string
+	state   State
+	at      time.Time
+	element *list.Element
 }
 
-// Ledger holds the records of one incarnation of an agent.
+// Ledger holds the attempt records of one incarnation of an agent.
 type Ledger struct {
-	keep    time.Duration
-	records map[string]*record
-	final   list.List
+	retention time.Duration
+	records   map[string]*record
+	final     list.List
 }
 
-// New returns an empty ledger that keeps final records for keep.
-func New(keep time.Duration) *Ledger {
-	return &Ledger{keep: keep, records: make(map[string]*record)}
+// New returns an empty ledger that retains final records for the given duration.
+func New(retention time.Duration) *Ledger {
+	return &Ledger{retention: retention, records: make(map[string]*record)}
 }
 
 // Len returns the number of records.
 func (l *Ledger) Len() int { return len(l.records) }
 
-// State returns what became of the attempt.
+// State returns the state of the attempt, or None if there is no record.
 func (l *Ledger) State(id string) State {
 	if r, ok := l.records[id]; ok {
 		return r.state
@@ -69,8 +69,8 @@
 	return None
 }
 
-// Set records a state. A final state is never left, and a started attempt
-// never becomes NotRun; Set reports whether the record was changed.
+// Set records a state and reports whether it was accepted. A final state never
+// changes, and a started attempt can only become Ran.
 func (l *Ledger) Set(now time.Time, id string, s State) bool {
 	r, ok := l.records[id]
 	if !ok {
@@ -83,16 +83,16 @@
 	r.state = s
 	r.at = now
 	if s.Final() {
-		r.place = l.final.PushBack(r)
+		r.element = l.final.PushBack(r)
 	}
 	return true
 }
 
-// Sweep forgets final records older than the time they are kept.
+// Sweep deletes final records whose retention has passed.
 func (l *Ledger) Sweep(now time.Time) {
 	for e := l.final.Front(); e != nil; e = l.final.Front() {
 		r := e.Value.(*record)
-		if now.Sub(r.at) < l.keep {
+		if now.Sub(r.at) < l.retention {
 			return
 		}
 		l.final.Remove(e)
--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/ledger/ledger_test.go
@@ -14,10 +14,10 @@
 		states []State
 		want   State
 	}{
-		{"refused stays refused", []State{Waiting, NotRun, Granted, Running}, NotRun},
-		{"started is never not run", []State{Waiting, Granted, Running, NotRun}, Running},
-		{"started does not wait again", []State{Running, Waiting}, Running},
-		{"ran stays ran", []State{Running, Ran, NotRun}, Ran},
+		{"refused attempt stays refused", []State{Waiting, NotRun, Granted, Running}, NotRun},
+		{"started attempt never becomes not run", []State{Waiting, Granted, Running, NotRun}, Running},
+		{"started attempt does not wait again", []State{Running, Waiting}, Running},
+		{"attempt that ran stays so", []State{Running, Ran, NotRun}, Ran},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestSweepForgetsOnlyOldFinalRecords(t *testing.T) {
+func TestSweepDeletesOnlyOldFinalRecords(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	l := New(time.Minute)
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -1,14 +1,14 @@
-// Package placement decides which orders an agent gives to its own upstream.
+// Package placement reconciles what an upstream has loaded with the configuration.
 //
-// What an upstream should have loaded is a pure function of the configuration.
-// Each agent compares it with what its upstream says it has, and orders the
-// difference, one order at a time. Orders carry a fence that rises with the
-// configuration's revision and then with the agent's incarnation, so that an
-// upstream that checks fences refuses what a predecessor sent late. On one that
-// does not, a late order is undone at the next comparison.
+// The desired state of an upstream is a pure function of the configuration. Each
+// agent compares it with the state that its upstream reports and issues orders for
+// the difference, one at a time. Orders carry a fencing token that increases with the
+// revision of the configuration and then with the incarnation of the agent, so an
+// upstream that checks tokens rejects late orders of an earlier incarnation. At an
+// upstream that does not check them, the next comparison reverts a late order.
 //
-// The agents of a pool take turns by rank, since the weight store is
-// rate-limited.
+// The agents of a pool start their orders one after another, by rank, since the
+// weight store is rate-limited.
 //
 // # Usage
 //
@@ -25,18 +25,18 @@
 	"github.com/gladegauge/gladegauge/internal/core/rendezvous"
 )
 
-// TurnLength is the time between the first orders of two agents of a pool
+// TurnLength is the delay between the first orders of two agents of consecutive rank
 // after a change.
 const TurnLength = 500 * time.Millisecond
 
-// State is what an upstream has loaded, or should have.
+// State is the actual or desired state of an upstream.
 type State struct {
 	Version  string
 	Adapters []string
 	Role     string
 }
 
-// Wanted returns what every upstream of the pool should have loaded.
+// Wanted returns the desired state of the upstreams of a pool.
 func Wanted(p *config.Pool) State {
 	return State{Version: p.Version, Adapters: p.Adapters, Role: p.Role}
 }
@@ -52,42 +52,44 @@
 	SetRole       Kind = "role"
 )
 
-// Order is one order to an upstream.
+// Order is a command to an upstream to change its state.
 type Order struct {
 	Kind Kind
 	Name string
 }
 
-// Orders returns what turns the actual state into the wanted one. An empty
-// version or role is left as it is. Nothing is unloaded before what replaces it
-// is loaded, and the role changes last.
-func Orders(wanted, actual State) []Order {
+// Orders returns the orders that change the actual state into the desired one. An
+// empty desired version or role leaves the actual one unchanged. Adapters are loaded
+// before others are unloaded, and the role changes last.
+func Orders(desired, actual State) []Order {
 	var orders []Order
-	if wanted.Version != "" && wanted.Version != actual.Version {
-		orders = append(orders, Order{Kind: SetVersion, Name: wanted.Version})
+	if desired.Version != "" && desired.Version != actual.Version {
+		orders = append(orders, Order{Kind: SetVersion, Name: desired.Version})
 	}
-	for _, name := range wanted.Adapters {
+	for _, name := range desired.Adapters {
 		if !slices.Contains(actual.Adapters, name) {
 			orders = append(orders, Order{Kind: LoadAdapter, Name: name})
 		}
 	}
 	for _, name := range actual.Adapters {
-		if !slices.Contains(wanted.Adapters, name) {
+		if !slices.Contains(desired.Adapters, name) {
 			orders = append(orders, Order{Kind: UnloadAdapter, Name: name})
 		}
 	}
-	if wanted.Role != "" && wanted.Role != actual.Role {
-		orders = append(orders, Order{Kind: SetRole, Name: wanted.Role})
+	if desired.Role != "" && desired.Role != actual.Role {
+		orders = append(orders, Order{Kind: SetRole, Name: desired.Role})
 	}
 	return orders
 }
 
-// Fence returns the fence of orders under a revision. Fences compare as text.
+// Fence returns the fencing token of orders for a revision. Tokens are ordered
+// lexicographically.
 func Fence(revision uint64, booted time.Time) string {
 	return fmt.Sprintf("%020d-%020d", revision, booted.UnixNano())
 }
 
-// Turn returns how long after a change the agent gives its first order.
+// Turn returns the delay between a change and the first order of the agent, which
+// is proportional to its rank in the pool.
 func Turn(set *member.Set, pool, self string) time.Duration {
 	var ids []string
 	for _, h := range set.Agents(pool) {
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -12,25 +12,25 @@
 
 func TestOrders(t *testing.T) {
 	tests := []struct {
-		name           string
-		wanted, actual State
-		want           []Order
+		name            string
+		desired, actual State
+		want            []Order
 	}{
-		{"nothing to do", State{Version: "2", Adapters: []string{"a"}}, State{Version: "2", Adapters: []string{"a"}}, nil},
-		{"version left open", State{}, State{Version: "7"}, nil},
+		{"no difference", State{Version: "2", Adapters: []string{"a"}}, State{Version: "2", Adapters: []string{"a"}}, nil},
+		{"no desired version", State{}, State{Version: "7"}, nil},
 		{"version", State{Version: "2"}, State{Version: "1"}, []Order{{SetVersion, "2"}}},
 		{"role last", State{Version: "2", Role: "decode"}, State{Version: "1", Role: "mixed"}, []Order{{SetVersion, "2"}, {SetRole, "decode"}}},
-		{"load before unload", State{Adapters: []string{"new"}}, State{Adapters: []string{"old"}}, []Order{{LoadAdapter, "new"}, {UnloadAdapter, "old"}}},
+		{"adapter loaded before unload", State{Adapters: []string{"new"}}, State{Adapters: []string{"old"}}, []Order{{LoadAdapter, "new"}, {UnloadAdapter, "old"}}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(Orders(tt.wanted, tt.actual), tt.want)
+			is.Equal(Orders(tt.desired, tt.actual), tt.want)
 		})
 	}
 }
 
-func TestFencesRise(t *testing.T) {
+func TestFencesIncrease(t *testing.T) {
 	is := is.New(t)
 	t0 := time.Unix(1_800_000_000, 0)
 	is.True(Fence(2, t0) > Fence(1, t0.Add(time.Hour)))
@@ -38,7 +38,7 @@
 	is.True(Fence(10, t0) > Fence(9, t0))
 }
 
-func TestTurnsDiffer(t *testing.T) {
+func TestStartDelaysDiffer(t *testing.T) {
 	is := is.New(t)
 	list := &gladegaugev1.HostList{Zone: "a", Version: 1}
 	for _, id := range []string{"x", "y", "z"} {
--- a/internal/core/queue/queue_test.go
+++ b/internal/core/queue/queue_test.go
@@ -79,9 +79,9 @@
 	}
 }
 
-// TestTurnsAreChargedByTokens checks that two organisations receive equal numbers of
+// TestTokensAreSharedFairly checks that two organisations receive equal numbers of
 // tokens although the responses of one are ten times as long.
-func TestTurnsAreChargedByTokens(t *testing.T) {
+func TestTokensAreSharedFairly(t *testing.T) {
 	is := is.New(t)
 	q := New(Policy{})
 	tokens := map[string]int{"long": 1000, "short": 100}
