--- a/internal/core/agent/run.go
+++ b/internal/core/agent/run.go
@@ -31,8 +31,8 @@
 }
 
 // preemptibleFor reports whether a request of the class may preempt the run.
-// Unprotected classes may preempt a run at most maxPreemptions times, which prevents
-// thrashing.
+// Unprotected classes may preempt it only until it was preempted maxPreemptions times,
+// which prevents thrashing.
 func (r *run) preemptibleFor(class *config.Class) bool {
 	return r.claimed &&
 		!r.stopping &&
