--- a/internal/core/agent/admit.go
+++ b/internal/core/agent/admit.go
@@ -37,7 +37,7 @@
 		return nil, true
 	}
 	effects := a.preemptForProtected(it.Class)
-	victim, ok := a.queue.Furthest(it.Class.Name)
+	victim, ok := a.queue.EvictionCandidate(it.Class.Name)
 	if !ok || !a.canEvict(victim, it) {
 		return effects, false
 	}
@@ -48,7 +48,7 @@
 // startsInTime reports whether the request is expected to start within its target,
 // after all requests that run before it.
 func (a *Agent) startsInTime(now time.Time, it *queue.Item) bool {
-	wait, requests := a.waitFor(it.Class, a.queue.Cost(it.Class))
+	wait, requests := a.waitFor(it.Class, a.queue.MeanTokens(it.Class))
 	share := maxWaitShare(requests) * a.slackFactor(it.Class)
 	return wait == 0 || wait <= time.Duration(share*float64(it.Slack(now)))
 }
--- a/internal/core/agent/agent.go
+++ b/internal/core/agent/agent.go
@@ -48,11 +48,11 @@
 type Options struct {
 	Incarnation string
 	Slots       int
-	// Speed is the initial estimate of the tokens per second of one run.
-	Speed float64
-	// Tokens is the initial estimate of the tokens per response.
-	Tokens float64
-	Queue  queue.Policy
+	// InitialSpeed is the initial estimate of the tokens per second of one run.
+	InitialSpeed float64
+	// InitialTokens is the initial estimate of the tokens per response.
+	InitialTokens float64
+	Queue         queue.Policy
 	// NoRefusal disables admission control: every request is queued. It is the
 	// baseline in comparisons.
 	NoRefusal bool
@@ -66,11 +66,11 @@
 	if o.Slots == 0 {
 		o.Slots = 1
 	}
-	if o.Speed == 0 {
-		o.Speed = 30
+	if o.InitialSpeed == 0 {
+		o.InitialSpeed = 30
 	}
-	if o.Tokens == 0 {
-		o.Tokens = 200
+	if o.InitialTokens == 0 {
+		o.InitialTokens = 200
 	}
 	return o
 }
@@ -122,7 +122,7 @@
 		offers:       make(map[string]Offer),
 		slackFactors: make(map[string]float64),
 		slots:        o.Slots,
-		speed:        o.Speed,
+		speed:        o.InitialSpeed,
 	}
 }
 
--- a/internal/core/agent/agent_test.go
+++ b/internal/core/agent/agent_test.go
@@ -210,7 +210,7 @@
 			{2 * ms, offers("b", "ruling"), ""},
 			{3 * ms, func(a *Agent, now time.Time) []Effect { return a.SetDown(now, true) }, "refuse b upstream_down"},
 			{4 * ms, offers("c", "ruling"), "refuse c upstream_down"},
-			{5 * ms, ends("a", Cut, 2), ""},
+			{5 * ms, ends("a", Interrupted, 2), ""},
 			{6 * ms, func(a *Agent, now time.Time) []Effect { return a.SetDown(now, false) }, ""},
 			{7 * ms, offers("d", "ruling"), "grant d"},
 		}},
--- a/internal/core/agent/attempt.go
+++ b/internal/core/agent/attempt.go
@@ -154,7 +154,7 @@
 	if !ok || !r.claimed || produced <= r.produced {
 		return
 	}
-	a.queue.Produced(produced - r.produced)
+	a.queue.CreditFloorShares(produced - r.produced)
 	a.tierTokens[r.item.Class.Tier-1] += produced - r.produced
 	if r.produced == 0 && r.item.Class.FirstToken > 0 {
 		a.adjustSlackFactor(r.item.Class, now.Sub(r.item.Arrived) <= r.item.Class.FirstToken)
@@ -182,7 +182,7 @@
 	a.release(id)
 	switch end {
 	case Completed:
-		a.queue.Learn(r.item.Class, max(1, r.produced))
+		a.queue.ObserveResponse(r.item.Class, max(1, r.produced))
 		if r.item.Class.FirstToken == 0 {
 			a.adjustSlackFactor(r.item.Class, now.Sub(r.item.Arrived) <= r.item.Class.Completion)
 		}
@@ -193,7 +193,7 @@
 		if o := a.offers[id]; o.Key != "" {
 			a.keys.release(o)
 		}
-	case Cut:
+	case Interrupted:
 	}
 	a.finish(now, id, ledger.Ran)
 	return a.schedule(now)
@@ -220,7 +220,7 @@
 	r.item.Produced = r.produced
 	r.item.Copies = 1
 	r.item.Preemptions++
-	a.queue.Return(r.item)
+	a.queue.Requeue(r.item)
 	return a.schedule(now)
 }
 
--- a/internal/core/agent/lifecycle.go
+++ b/internal/core/agent/lifecycle.go
@@ -105,7 +105,7 @@
 			effects = append(effects, a.refuse(now, id, Stale, class))
 		}
 	}
-	for _, it := range a.queue.Expired(now) {
+	for _, it := range a.queue.RemoveExpired(now) {
 		effects = append(effects, a.expire(now, it))
 	}
 	effects = append(effects, a.stopLostRuns(now)...)
--- a/internal/core/agent/load.go
+++ b/internal/core/agent/load.go
@@ -45,7 +45,7 @@
 
 // waitFor returns the same as wait, and the number of requests waited for.
 func (a *Agent) waitFor(class *config.Class, cost float64) (time.Duration, float64) {
-	requests, tokens := a.queue.Ahead(class.Tier)
+	requests, tokens := a.queue.ExpectedAhead(class.Tier)
 	free := float64(a.slots - a.busySlots + a.stopping + a.preemptible(class))
 	if requests < free {
 		return 0, 0
@@ -107,12 +107,12 @@
 // meanCost returns the mean of the expected tokens of the running requests.
 func (a *Agent) meanCost() float64 {
 	if len(a.runs) == 0 {
-		return a.options.Tokens
+		return a.options.InitialTokens
 	}
 	// Sums integers: a sum of floats would depend on map iteration order.
 	sum := 0
 	for _, r := range a.runs {
-		sum += int(a.queue.Cost(r.item.Class))
+		sum += int(a.queue.MeanTokens(r.item.Class))
 	}
 	return max(1, float64(sum)/float64(len(a.runs)))
 }
@@ -123,7 +123,7 @@
 func (a *Agent) lead(class *config.Class) time.Duration {
 	lead := time.Duration(a.timeToFirstToken)
 	if class.FirstToken == 0 {
-		lead += time.Duration(a.queue.Long(class) / a.speed * float64(time.Second))
+		lead += time.Duration(a.queue.TailTokens(class) / a.speed * float64(time.Second))
 	}
 	return min(lead, time.Duration(maxLead*float64(class.StartTarget())))
 }
--- a/internal/core/agent/offer.go
+++ b/internal/core/agent/offer.go
@@ -27,9 +27,9 @@
 const (
 	// Completed means that the whole response was produced.
 	Completed End = iota + 1
-	// Cut means that the upstream closed the connection early or the caller
+	// Interrupted means that the upstream closed the connection early or the caller
 	// disconnected.
-	Cut
+	Interrupted
 	// NeverRan means that the upstream certainly did not accept the request.
 	NeverRan
 )
--- a/internal/core/agent/schedule.go
+++ b/internal/core/agent/schedule.go
@@ -76,7 +76,7 @@
 func (a *Agent) preempt(now time.Time) []Effect {
 	var effects []Effect
 	for {
-		next, ok := a.queue.Next(now, false)
+		next, ok := a.queue.Peek(now, false)
 		if !ok || !a.urgent(next.Item.Slack(now)) {
 			return effects
 		}
--- a/internal/core/burn/burn.go
+++ b/internal/core/burn/burn.go
@@ -17,8 +17,8 @@
 	"time"
 )
 
-// Keep is the retention of cells.
-const Keep = 24 * time.Hour
+// Retention is the time for which cells are kept.
+const Retention = 24 * time.Hour
 
 // minuteRetention is the age after which the cells of minutes are merged by hour.
 const minuteRetention = time.Hour
@@ -100,11 +100,11 @@
 	c.Refused += add.Refused
 }
 
-// compact deletes cells older than Keep and merges cells older than minuteRetention
-// by hour. While there are more than maxCells cells, it merges the organisations of
-// the oldest minute.
+// compact deletes cells older than Retention and merges cells older than
+// minuteRetention by hour. While there are more than maxCells cells, it merges the
+// organisations of the oldest minute.
 func (l *Ledger) compact() {
-	day := l.minute - int64(Keep/time.Minute)
+	day := l.minute - int64(Retention/time.Minute)
 	hour := l.minute - int64(minuteRetention/time.Minute)
 	l.rekey(func(k Key) (Key, bool) {
 		if k.Minute < hour {
--- a/internal/core/burn/burn_test.go
+++ b/internal/core/burn/burn_test.go
@@ -60,6 +60,6 @@
 	now := time.Unix(1_800_000_000, 0)
 	l := NewLedger()
 	l.Add(now, "counter", "reef", Hit)
-	l.Add(now.Add(Keep+time.Hour), "counter", "reef", Hit)
+	l.Add(now.Add(Retention+time.Hour), "counter", "reef", Hit)
 	is.Equal(len(l.Cells()), 1)
 }
--- a/internal/core/burn/report.go
+++ b/internal/core/burn/report.go
@@ -21,7 +21,7 @@
 }
 
 // Line is the report for one class, or for one organisation within the class if
-// Organisation is set.
+// Organisation is set. Its field names, like those of Rate, are keys of JSON output.
 type Line struct {
 	Class        string
 	Organisation string
--- a/internal/core/dispatch/model_test.go
+++ b/internal/core/dispatch/model_test.go
@@ -59,7 +59,7 @@
 	name := map[bool]string{true: "ruling", false: "registration"}[repeatable]
 	class, _ := m.cfg.Class(name)
 	r := &modelRequest{id: fmt.Sprint("r", n), repeatable: repeatable}
-	callbacks := Seams{
+	callbacks := Callbacks{
 		Pick: func(_ time.Time, q route.Request, n int) []member.Host {
 			return picker(len(m.agents))(m.now, q, n)
 		},
@@ -112,7 +112,7 @@
 				if e.AlreadyRun {
 					return r.core.AlreadyRun(n)
 				}
-				return r.core.Broken(m.now, n, false)
+				return r.core.AttemptLost(m.now, n, false)
 			})
 		case agent.Start:
 			r, _ := m.find(e.ID)
@@ -188,13 +188,13 @@
 	}
 	id := a.runs[0]
 	a.runs = a.runs[1:]
-	end := rapid.SampledFrom([]agent.End{agent.Completed, agent.Cut}).Draw(m.t, "end")
+	end := rapid.SampledFrom([]agent.End{agent.Completed, agent.Interrupted}).Draw(m.t, "end")
 	m.apply(a, a.core.Ended(m.now, id, end, 5))
 	m.reply(id, func(r *modelRequest, n int) []Effect {
 		if end == agent.Completed {
 			return r.core.Ended(n)
 		}
-		return r.core.Broken(m.now, n, false)
+		return r.core.AttemptLost(m.now, n, false)
 	})
 }
 
@@ -205,7 +205,7 @@
 	for _, r := range m.requests {
 		for n := range r.core.attempts {
 			if m.agentOf(r, n) == a {
-				m.reply(attemptID(r, n), func(r *modelRequest, n int) []Effect { return r.core.Broken(m.now, n, false) })
+				m.reply(attemptID(r, n), func(r *modelRequest, n int) []Effect { return r.core.AttemptLost(m.now, n, false) })
 			}
 		}
 	}
@@ -219,7 +219,7 @@
 	}
 	switch rapid.IntRange(0, 4).Draw(m.t, "entry") {
 	case 0:
-		m.execute(r, r.core.HungUp())
+		m.execute(r, r.core.CallerDisconnected())
 	case 1:
 		r.entryDown = true
 	default:
--- a/internal/core/dispatch/offers.go
+++ b/internal/core/dispatch/offers.go
@@ -27,7 +27,7 @@
 // offerMore offers the request to up to n more agents. It finishes the request if
 // there is no further agent and no open offer.
 func (r *Request) offerMore(now time.Time, n int) []Effect {
-	n = min(n, r.options.Offers-len(r.attempts))
+	n = min(n, r.options.MaxOffers-len(r.attempts))
 	var picks []member.Host
 	if n > 0 && !r.bound() {
 		picks = r.callbacks.Pick(now, route.Request{
--- a/internal/core/dispatch/request.go
+++ b/internal/core/dispatch/request.go
@@ -11,38 +11,38 @@
 
 // Defaults for Options, and the stall timeout.
 const (
-	// DefaultWidth is the number of agents that receive an offer concurrently.
-	DefaultWidth = 2
-	// DefaultOffers is the maximum number of offers per request.
-	DefaultOffers = 6
-	// DefaultResumes is the maximum number of times that an interrupted response is
+	// DefaultConcurrentOffers is the number of agents that receive an offer concurrently.
+	DefaultConcurrentOffers = 2
+	// DefaultMaxOffers is the maximum number of offers per request.
+	DefaultMaxOffers = 6
+	// DefaultMaxResumes is the maximum number of times that an interrupted response is
 	// resumed on another agent.
-	DefaultResumes = 1
-	// StallAfter is the time without any message after which a claimed attempt is
+	DefaultMaxResumes = 1
+	// StallTimeout is the time without any message after which a claimed attempt is
 	// considered lost. Agents send heartbeats while a run produces no tokens.
-	StallAfter = 4 * time.Second
+	StallTimeout = 4 * time.Second
 )
 
 // Options are the settings shared by all requests of an entry. Zero values select
 // the defaults.
 type Options struct {
-	Width   int
-	Offers  int
-	Resumes int
+	ConcurrentOffers int
+	MaxOffers        int
+	MaxResumes       int
 	// NoResume disables resuming interrupted responses. It is the baseline in
 	// comparisons.
 	NoResume bool
 }
 
 func (o Options) withDefaults() Options {
-	if o.Width == 0 {
-		o.Width = DefaultWidth
+	if o.ConcurrentOffers == 0 {
+		o.ConcurrentOffers = DefaultConcurrentOffers
 	}
-	if o.Offers == 0 {
-		o.Offers = DefaultOffers
+	if o.MaxOffers == 0 {
+		o.MaxOffers = DefaultMaxOffers
 	}
-	if o.Resumes == 0 && !o.NoResume {
-		o.Resumes = DefaultResumes
+	if o.MaxResumes == 0 && !o.NoResume {
+		o.MaxResumes = DefaultMaxResumes
 	}
 	return o
 }
@@ -57,8 +57,8 @@
 	Bound member.Host
 }
 
-// Seams are the functions of the entry that a request calls.
-type Seams struct {
+// Callbacks are the functions of the entry that a request calls.
+type Callbacks struct {
 	// Pick selects up to n agents for new offers and counts the offers.
 	Pick func(now time.Time, r route.Request, n int) []member.Host
 	// Spend takes one retry from the pool's retry budget. It returns false if the
@@ -76,7 +76,7 @@
 type Request struct {
 	spec           Spec
 	options        Options
-	callbacks      Seams
+	callbacks      Callbacks
 	attempts       []*attempt
 	runningAttempt int
 	mayHaveRun     bool
@@ -92,7 +92,7 @@
 const noAttempt = -1
 
 // New returns a request without offers.
-func New(spec Spec, o Options, s Seams) *Request {
+func New(spec Spec, o Options, s Callbacks) *Request {
 	return &Request{
 		spec:           spec,
 		options:        o.withDefaults(),
@@ -119,7 +119,7 @@
 	if r.bound() {
 		return r.offer([]member.Host{r.spec.Bound})
 	}
-	return r.offerMore(now, r.options.Width)
+	return r.offerMore(now, r.options.ConcurrentOffers)
 }
 
 func (r *Request) finish(o Outcome) []Effect {
@@ -164,7 +164,7 @@
 	reason := refusal.Reason
 	switch {
 	case r.inPhase(n, claimed) && refusal.Incarnation != r.attempts[n].incarnation:
-		return r.Broken(now, n, false)
+		return r.AttemptLost(now, n, false)
 	case r.inPhase(n, claimed):
 		// The claim arrived too late, so this attempt did not run.
 		r.attempts[n].fail()
@@ -184,7 +184,7 @@
 	if reason == agent.Expired || reason == agent.UnknownKey {
 		return r.finishExhausted()
 	}
-	if reason == agent.Overload && (r.openOffers() > 0 || len(r.attempts) > r.options.Width) {
+	if reason == agent.Overload && (r.openOffers() > 0 || len(r.attempts) > r.options.ConcurrentOffers) {
 		return r.recountOrFinish()
 	}
 	return r.offerMore(now, 1)
@@ -209,10 +209,10 @@
 	return true
 }
 
-// Fixed records that the response is not an event stream. Once part of such a
-// response was delivered, it cannot be resumed from another run, whose response
-// may differ.
-func (r *Request) Fixed() { r.notEventStream = true }
+// MarkNotEventStream records that the response is not an event stream. Once part of
+// such a response was delivered, it cannot be resumed from another run, whose
+// response may differ.
+func (r *Request) MarkNotEventStream() { r.notEventStream = true }
 
 // Ended handles the end of a complete response.
 func (r *Request) Ended(n int) []Effect {
@@ -233,10 +233,10 @@
 	return r.finish(Outcome{Result: AlreadyRun})
 }
 
-// Broken handles the loss of an attempt: its agent or upstream is unreachable or
+// AttemptLost handles the loss of an attempt: its agent or upstream is unreachable or
 // closed the connection early. notRun means that the upstream certainly did not
 // accept the request.
-func (r *Request) Broken(now time.Time, n int, notRun bool) []Effect {
+func (r *Request) AttemptLost(now time.Time, n int, notRun bool) []Effect {
 	switch {
 	case r.inPhase(n, offered):
 		r.attempts[n].fail()
@@ -270,24 +270,24 @@
 		if !r.callbacks.Spend() {
 			return r.finish(Outcome{Result: NotRun, Reason: agent.UpstreamDown, RetryAfter: time.Second})
 		}
-		return r.offerMore(now, r.options.Width)
+		return r.offerMore(now, r.options.ConcurrentOffers)
 	}
 	if !r.spec.Class.Repeatable {
 		return r.finish(Outcome{Result: Unknown})
 	}
-	if (r.notEventStream && r.delivered > 0) || r.resumes >= r.options.Resumes || !r.callbacks.Spend() {
+	if (r.notEventStream && r.delivered > 0) || r.resumes >= r.options.MaxResumes || !r.callbacks.Spend() {
 		return r.finish(Outcome{Result: Incomplete, RetryAfter: time.Second})
 	}
 	r.resumes++
-	return r.offerMore(now, r.options.Width)
+	return r.offerMore(now, r.options.ConcurrentOffers)
 }
 
-// RunOnce disables further resumes, for a request whose runs may crash their
+// DisableResumes prevents further resumes, for a request whose runs may crash their
 // upstreams.
-func (r *Request) RunOnce() { r.options.Resumes = 0 }
+func (r *Request) DisableResumes() { r.options.MaxResumes = 0 }
 
-// HungUp handles a disconnect of the caller: it cancels all attempts.
-func (r *Request) HungUp() []Effect {
+// CallerDisconnected handles a disconnect of the caller: it cancels all attempts.
+func (r *Request) CallerDisconnected() []Effect {
 	if r.done {
 		return nil
 	}
@@ -307,9 +307,9 @@
 
 func (r *Request) checkStall(now time.Time) []Effect {
 	n := r.runningAttempt
-	if now.Sub(r.lastActivity) < StallAfter {
+	if now.Sub(r.lastActivity) < StallTimeout {
 		return nil
 	}
 	effects := []Effect{Withdraw{Attempt: n}}
-	return append(effects, r.Broken(now, n, false)...)
+	return append(effects, r.AttemptLost(now, n, false)...)
 }
--- a/internal/core/dispatch/request_test.go
+++ b/internal/core/dispatch/request_test.go
@@ -66,7 +66,7 @@
 }
 
 func breaks(n int, notRun bool) func(*Request) []Effect {
-	return func(r *Request) []Effect { return r.Broken(t0, n, notRun) }
+	return func(r *Request) []Effect { return r.AttemptLost(t0, n, notRun) }
 }
 
 func delivers(n, end int) func(*Request) []Effect {
@@ -148,7 +148,7 @@
 		}},
 		{"response that is not an event stream restarts from offset zero", true, 4, 9, []step{
 			{grants(0), "withdraw 1, claim 0 at 0"},
-			{func(r *Request) []Effect { r.Fixed(); return nil }, ""},
+			{func(r *Request) []Effect { r.MarkNotEventStream(); return nil }, ""},
 			{breaks(0, false), "offer 2 h2, offer 3 h3"},
 			{grants(2), "withdraw 3, claim 2 at 0"},
 			{delivers(2, 16384), ""},
@@ -156,7 +156,7 @@
 		}},
 		{"partly delivered response that is not an event stream is incomplete", true, 4, 9, []step{
 			{grants(0), "withdraw 1, claim 0 at 0"},
-			{func(r *Request) []Effect { r.Fixed(); return nil }, ""},
+			{func(r *Request) []Effect { r.MarkNotEventStream(); return nil }, ""},
 			{delivers(0, 16384), ""},
 			{breaks(0, false), "finish incomplete"},
 		}},
@@ -166,12 +166,12 @@
 		}},
 		{"stall after the claim", true, 3, 9, []step{
 			{grants(0), "withdraw 1, claim 0 at 0"},
-			{ticks(StallAfter - 1), ""},
-			{ticks(StallAfter), "withdraw 0, offer 2 h2, offer 3 h3"},
+			{ticks(StallTimeout - 1), ""},
+			{ticks(StallTimeout), "withdraw 0, offer 2 h2, offer 3 h3"},
 		}},
 		{"caller disconnects", true, 3, 9, []step{
 			{grants(0), "withdraw 1, claim 0 at 0"},
-			{func(r *Request) []Effect { return r.HungUp() }, "withdraw 0, finish abandoned"},
+			{func(r *Request) []Effect { return r.CallerDisconnected() }, "withdraw 0, finish abandoned"},
 			{ends(0), ""},
 		}},
 		{"idempotency key was already used", false, 3, 9, []step{
@@ -182,7 +182,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			budget := tt.budget
-			callbacks := Seams{Pick: picker(tt.hosts), Spend: func() bool { budget--; return budget >= 0 }}
+			callbacks := Callbacks{Pick: picker(tt.hosts), Spend: func() bool { budget--; return budget >= 0 }}
 			class := &config.Class{Name: "c", Tier: 1, Repeatable: tt.repeatable, FirstToken: time.Second}
 			r := New(Spec{Class: class, Pool: "p", Arrived: t0}, Options{}, callbacks)
 			is.Equal(formatEffects(r.Start(t0)), "offer 0 h1, offer 1 h2")
@@ -208,7 +208,7 @@
 			is := is.New(t)
 			class := &config.Class{Name: "c", Tier: 1, FirstToken: time.Second}
 			spec := Spec{Class: class, Arrived: t0, Bound: member.Host{ID: "h9"}}
-			r := New(spec, Options{}, Seams{Pick: picker(3), Spend: func() bool { return true }})
+			r := New(spec, Options{}, Callbacks{Pick: picker(3), Spend: func() bool { return true }})
 			is.Equal(formatEffects(r.Start(t0)), "offer 0 h9")
 			is.Equal(formatEffects(tt.do(r)), tt.want)
 		})
--- a/internal/core/entry/entry.go
+++ b/internal/core/entry/entry.go
@@ -6,7 +6,7 @@
 //
 // # Usage
 //
-//	e := entry.New(entry.Options{ID: id, Zone: zone}, cfg, rng)
+//	e := entry.New(entry.Options{Route: route.Options{Entry: id, Zone: zone}}, cfg, rng)
 //	e.SetMembers(set)
 //	r, rejection := e.Admit(now, call)
 //	if rejection != nil {
@@ -99,14 +99,14 @@
 	RetryAfter time.Duration
 }
 
-// Ticket is an admitted request.
-type Ticket struct {
+// AdmittedRequest is a request that passed the rate limit and the overload gate.
+type AdmittedRequest struct {
 	*dispatch.Request
 	key gate.Key
 }
 
 // Admit admits a request or rejects it at once.
-func (e *Entry) Admit(now time.Time, c Call) (*Ticket, *Rejection) {
+func (e *Entry) Admit(now time.Time, c Call) (*AdmittedRequest, *Rejection) {
 	if wait, ok := e.limiter.Take(now, c.Organisation, e.set.Entries()); !ok {
 		return nil, &Rejection{Limited: true, RetryAfter: wait}
 	}
@@ -121,8 +121,8 @@
 		Prefix:  c.Prefix,
 		Bound:   c.Bound,
 	}
-	callbacks := dispatch.Seams{Pick: e.table.Pick, Spend: e.budget(c.Pool.Name).Spend}
-	return &Ticket{Request: dispatch.New(spec, e.options.Dispatch, callbacks), key: key}, nil
+	callbacks := dispatch.Callbacks{Pick: e.table.Pick, Spend: e.budget(c.Pool.Name).Spend}
+	return &AdmittedRequest{Request: dispatch.New(spec, e.options.Dispatch, callbacks), key: key}, nil
 }
 
 func (e *Entry) budget(pool string) *retry.Budget {
@@ -142,12 +142,12 @@
 // Settled records the first response of an agent to an offer.
 func (e *Entry) Settled(id string) { e.table.Settled(id) }
 
-// Lost records that an agent was unreachable or that its upstream closed the
+// AgentFailed records that an agent was unreachable or that its upstream closed the
 // connection early.
-func (e *Entry) Lost(now time.Time, id string) { e.table.Failed(now, id) }
+func (e *Entry) AgentFailed(now time.Time, id string) { e.table.Failed(now, id) }
 
 // Finished records the outcome of a request. id is the agent that ran it, if any.
-func (e *Entry) Finished(now time.Time, t *Ticket, id string, o dispatch.Outcome) {
+func (e *Entry) Finished(now time.Time, t *AdmittedRequest, id string, o dispatch.Outcome) {
 	switch {
 	case o.Result == dispatch.Completed:
 		e.table.Succeeded(id)
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -12,7 +12,7 @@
 //
 // # Usage
 //
-//	orders := placement.Orders(placement.Wanted(pool), actual)
+//	orders := placement.Orders(placement.Desired(pool), actual)
 package placement
 
 import (
@@ -25,9 +25,9 @@
 	"github.com/gladegauge/gladegauge/internal/core/rendezvous"
 )
 
-// TurnLength is the delay between the first orders of two agents of consecutive rank
+// StartInterval is the delay between the first orders of two agents of consecutive rank
 // after a change.
-const TurnLength = 500 * time.Millisecond
+const StartInterval = 500 * time.Millisecond
 
 // State is the actual or desired state of an upstream.
 type State struct {
@@ -36,8 +36,8 @@
 	Role     string
 }
 
-// Wanted returns the desired state of the upstreams of a pool.
-func Wanted(p *config.Pool) State {
+// Desired returns the desired state of the upstreams of a pool.
+func Desired(p *config.Pool) State {
 	return State{Version: p.Version, Adapters: p.Adapters, Role: p.Role}
 }
 
@@ -88,13 +88,13 @@
 	return fmt.Sprintf("%020d-%020d", revision, booted.UnixNano())
 }
 
-// Turn returns the delay between a change and the first order of the agent, which
+// StartDelay returns the delay between a change and the first order of the agent, which
 // is proportional to its rank in the pool.
-func Turn(set *member.Set, pool, self string) time.Duration {
+func StartDelay(set *member.Set, pool, self string) time.Duration {
 	var ids []string
 	for _, h := range set.Agents(pool) {
 		ids = append(ids, h.ID)
 	}
 	rank := max(0, slices.Index(rendezvous.Rank("placement/"+pool, ids), self))
-	return time.Duration(rank) * TurnLength
+	return time.Duration(rank) * StartInterval
 }
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -47,7 +47,7 @@
 	set, _ := member.NewSet().With(list)
 	seen := map[time.Duration]bool{}
 	for _, id := range []string{"x", "y", "z"} {
-		seen[Turn(set, "p", id)] = true
+		seen[StartDelay(set, "p", id)] = true
 	}
-	is.Equal(seen, map[time.Duration]bool{0: true, TurnLength: true, 2 * TurnLength: true})
+	is.Equal(seen, map[time.Duration]bool{0: true, StartInterval: true, 2 * StartInterval: true})
 }
--- a/internal/core/queue/queue.go
+++ b/internal/core/queue/queue.go
@@ -23,9 +23,9 @@
 	// of one response. Different phases at the agents of a pool spread the runs on
 	// floor shares over time.
 	Phase float64
-	// NoTurns disables fair queueing between the organisations of a class. It is
+	// NoFairQueueing disables fair queueing between the organisations of a class. It is
 	// used in comparisons.
-	NoTurns bool
+	NoFairQueueing bool
 }
 
 // Queue holds the waiting requests of one agent. It is not safe for concurrent
@@ -114,8 +114,9 @@
 	q.insert(it, false)
 }
 
-// Return requeues a preempted request ahead of its organisation's other requests.
-func (q *Queue) Return(it *Item) {
+// Requeue returns a preempted request to the queue, ahead of the other requests of
+// its organisation.
+func (q *Queue) Requeue(it *Item) {
 	q.insert(it, true)
 }
 
@@ -124,7 +125,7 @@
 		return
 	}
 	it.late = false
-	if q.policy.NoTurns {
+	if q.policy.NoFairQueueing {
 		it.Organisation = ""
 		it.Weight = 1
 	}
@@ -146,7 +147,7 @@
 // Pop removes and returns the next request. Floor shares are considered only if
 // floor is true.
 func (q *Queue) Pop(now time.Time, floor bool) (Choice, bool) {
-	choice, ok := q.Next(now, floor)
+	choice, ok := q.Peek(now, floor)
 	if !ok {
 		return Choice{}, false
 	}
@@ -166,8 +167,8 @@
 	return choice, true
 }
 
-// Next returns the choice that Pop would make without removing the request.
-func (q *Queue) Next(now time.Time, floor bool) (Choice, bool) {
+// Peek returns the choice that Pop would make without removing the request.
+func (q *Queue) Peek(now time.Time, floor bool) (Choice, bool) {
 	if q.policy.FIFO {
 		return q.oldest()
 	}
@@ -234,9 +235,9 @@
 	return Choice{Item: best}, best != nil
 }
 
-// Produced credits each waiting class with its floor share of the tokens that a
+// CreditFloorShares credits each waiting class with its floor share of the tokens that a
 // running request produced.
-func (q *Queue) Produced(tokens int) {
+func (q *Queue) CreditFloorShares(tokens int) {
 	for _, cq := range q.order {
 		if cq.len() == 0 {
 			continue
@@ -258,9 +259,9 @@
 	it.charged = 0
 }
 
-// Learn updates the class's length estimates with the tokens of a completed
+// ObserveResponse updates the class's length estimates with the tokens of a completed
 // response.
-func (q *Queue) Learn(c *config.Class, tokens int) {
+func (q *Queue) ObserveResponse(c *config.Class, tokens int) {
 	cq := q.class(c)
 	cq.meanTokens += smoothing * (float64(tokens) - cq.meanTokens)
 	cq.meanTokens = max(cq.meanTokens, 1)
@@ -284,25 +285,25 @@
 	cq.expectedRuns += it.expectedRuns()
 }
 
-// Long returns an upper quantile of the tokens per response of the class.
-func (q *Queue) Long(c *config.Class) float64 {
+// TailTokens returns an upper quantile of the tokens per response of the class.
+func (q *Queue) TailTokens(c *config.Class) float64 {
 	if cq, ok := q.classes[c.Name]; ok {
 		return cq.tailTokens
 	}
 	return initialTailFactor * float64(c.ExpectedTokens)
 }
 
-// Cost returns the moving average of the tokens per response of the class.
-func (q *Queue) Cost(c *config.Class) float64 {
+// MeanTokens returns the moving average of the tokens per response of the class.
+func (q *Queue) MeanTokens(c *config.Class) float64 {
 	if cq, ok := q.classes[c.Name]; ok {
 		return cq.meanTokens
 	}
 	return float64(c.ExpectedTokens)
 }
 
-// Ahead returns the expected number of requests, and of their tokens, that run at
+// ExpectedAhead returns the expected number of requests, and of their tokens, that run at
 // this agent before a new request of the tier.
-func (q *Queue) Ahead(tier int) (requests, tokens float64) {
+func (q *Queue) ExpectedAhead(tier int) (requests, tokens float64) {
 	for _, cq := range q.order {
 		if q.policy.FIFO || cq.class.Tier <= tier {
 			requests += cq.expectedRuns
@@ -323,10 +324,10 @@
 	return n
 }
 
-// Expired removes and returns the requests whose responses would arrive too late to
+// RemoveExpired removes and returns the requests whose responses would arrive too late to
 // be useful. Requests of protected classes stay, and so do preempted requests whose
 // target is the first token.
-func (q *Queue) Expired(now time.Time) []*Item {
+func (q *Queue) RemoveExpired(now time.Time) []*Item {
 	var out []*Item
 	for _, cq := range q.order {
 		if cq.class.Protected || q.policy.FIFO {
@@ -349,10 +350,10 @@
 	return out
 }
 
-// Furthest returns the last request of the organisation with the largest finish
+// EvictionCandidate returns the last request of the organisation with the largest finish
 // tag, which is the one that exceeds its fair share the most. The request is the
 // candidate for eviction.
-func (q *Queue) Furthest(class string) (*Item, bool) {
+func (q *Queue) EvictionCandidate(class string) (*Item, bool) {
 	cq, ok := q.classes[class]
 	if !ok || cq.byFinishTag.len() == 0 {
 		return nil, false
--- a/internal/core/queue/queue_test.go
+++ b/internal/core/queue/queue_test.go
@@ -115,7 +115,7 @@
 	low, gap, longest := 0, 0, 0
 	for range 1000 {
 		choice, _ := q.Pop(t0, true)
-		q.Produced(100)
+		q.CreditFloorShares(100)
 		q.Settle(choice.Item, 100)
 		gap++
 		if choice.Item.Class == report {
@@ -135,7 +135,7 @@
 	q.Push(item("ruling", ruling, "a", 0))
 	q.Push(item("deck", deck, "a", 0))
 	q.Push(item("new", deck, "a", 40*time.Second))
-	expired := q.Expired(t0.Add(40 * time.Second))
+	expired := q.RemoveExpired(t0.Add(40 * time.Second))
 	is.Equal(len(expired), 1)
 	is.Equal(expired[0].ID, "deck")
 	is.Equal(q.Len(), 2)
@@ -164,7 +164,7 @@
 				}
 				if ok {
 					checkChoice(t, choice, waiting)
-					q.Produced(100)
+					q.CreditFloorShares(100)
 					q.Settle(choice.Item, rapid.IntRange(1, 500).Draw(t, "tokens"))
 				}
 			case 3:
@@ -176,7 +176,7 @@
 					break
 				}
 			case 4:
-				for _, it := range q.Expired(now) {
+				for _, it := range q.RemoveExpired(now) {
 					delete(waiting, it.ID)
 				}
 			}
--- a/internal/edge/agentd/answer.go
+++ b/internal/edge/agentd/answer.go
@@ -99,7 +99,7 @@
 		return agent.NeverRan
 	case upstream.Broken:
 	}
-	return agent.Cut
+	return agent.Interrupted
 }
 
 // heartbeat tells the entry that a run without pieces is alive.
--- a/internal/edge/agentd/orders.go
+++ b/internal/edge/agentd/orders.go
@@ -58,9 +58,9 @@
 			return
 		}
 		ok = true
-		turn := placement.Turn(s.sync.Members(), s.o.Pool, s.o.ID)
+		turn := placement.StartDelay(s.sync.Members(), s.o.Pool, s.o.ID)
 		p = plan{
-			wanted: placement.Wanted(pool),
+			wanted: placement.Desired(pool),
 			fence:  placement.Fence(cfg.Revision(), s.booted),
 			notYet: now.Sub(s.configuredAt) < turn,
 		}
--- a/internal/edge/entryd/attempt.go
+++ b/internal/edge/entryd/attempt.go
@@ -121,7 +121,7 @@
 	a.settled = true
 	x.s.entry.Settled(a.agent)
 	if lost {
-		x.s.entry.Lost(now, a.agent)
+		x.s.entry.AgentFailed(now, a.agent)
 		x.s.metrics.Attempts.WithLabelValues("unanswered").Inc()
 	}
 }
--- a/internal/edge/entryd/call.go
+++ b/internal/edge/entryd/call.go
@@ -31,7 +31,7 @@
 	run       *gladegaugev1.Run
 	out       responder
 	arrived   time.Time
-	ticket    *entry.Ticket
+	ticket    *entry.AdmittedRequest
 	attempts  []*attempt
 	events    chan attemptEvent
 	streams   errgroup.Group
@@ -107,7 +107,7 @@
 	}
 	x.ticket = ticket
 	if x.verdict == suspect.Quarantined {
-		ticket.RunOnce()
+		ticket.DisableResumes()
 	}
 	return ticket.Start(now), nil
 }
@@ -144,11 +144,11 @@
 		case <-ticker.C:
 			effects = x.tick()
 		case <-ctx.Done():
-			effects = x.ticket.HungUp()
+			effects = x.ticket.CallerDisconnected()
 		}
 		if err != nil {
 			// The caller cannot be written to any more.
-			effects = x.ticket.HungUp()
+			effects = x.ticket.CallerDisconnected()
 		}
 		if finished, err := x.carryOut(streamCtx, effects); finished {
 			return err
@@ -164,7 +164,7 @@
 			if !a.settled && now.Sub(a.since) > offerTimeout {
 				x.settle(now, a, true)
 				a.cancel()
-				effects = append(effects, x.ticket.Broken(now, n, false)...)
+				effects = append(effects, x.ticket.AttemptLost(now, n, false)...)
 			}
 		}
 	})
--- a/internal/edge/entryd/events.go
+++ b/internal/edge/entryd/events.go
@@ -39,9 +39,9 @@
 // broken takes the loss of an attempt, and counts it if it still mattered. It
 // runs in the control loop.
 func (x *call) broken(now time.Time, n int, a *attempt, notRun bool) []dispatch.Effect {
-	effects := x.ticket.Broken(now, n, notRun)
+	effects := x.ticket.AttemptLost(now, n, notRun)
 	if len(effects) > 0 {
-		x.s.entry.Lost(now, a.agent)
+		x.s.entry.AgentFailed(now, a.agent)
 		x.s.metrics.Attempts.WithLabelValues("lost").Inc()
 	}
 	return effects
@@ -105,7 +105,7 @@
 	if int(end.GetLength()) != x.ticket.Delivered() {
 		x.s.o.Log.Error().Str("request", x.id).Uint64("length", end.GetLength()).
 			Int("delivered", x.ticket.Delivered()).Msg("answer does not have the length its agent says")
-		return x.ticket.Broken(now, n, false)
+		return x.ticket.AttemptLost(now, n, false)
 	}
 	x.claimedBy = a.agent
 	return x.ticket.Ended(n)
@@ -117,7 +117,7 @@
 	}
 	x.status = int(h.GetStatus())
 	if !convert.Events(h) {
-		x.ticket.Fixed()
+		x.ticket.MarkNotEventStream()
 	}
 	return x.out.head(h)
 }
--- a/internal/edge/entryd/suspects.go
+++ b/internal/edge/entryd/suspects.go
@@ -66,7 +66,7 @@
 	})
 	v := x.s.sync.Suspects().Look(now, x.printed())
 	if v != suspect.Free {
-		x.ticket.RunOnce()
+		x.ticket.DisableResumes()
 	}
 	x.harmful = v == suspect.Blocked
 }
--- a/internal/session/agenthost.go
+++ b/internal/session/agenthost.go
@@ -34,8 +34,8 @@
 	p, _ := h.s.site.Config.Pool(h.pool)
 	o.Slots = p.Slots
 	if p.Kind == config.KindService {
-		o.Speed = 1 / serviceTime.Seconds()
-		o.Tokens = 1
+		o.InitialSpeed = 1 / serviceTime.Seconds()
+		o.InitialTokens = 1
 	}
 	h.core = agent.New(o, h.s.site.Config)
 	h.streams = make(map[string]*stream)
@@ -146,7 +146,7 @@
 
 func (h *agentHost) broke(id string, produced int) {
 	h.deliver(func() {
-		effects := h.core.Ended(h.s.world.now, id, agent.Cut, produced)
+		effects := h.core.Ended(h.s.world.now, id, agent.Interrupted, produced)
 		x, ok := h.streams[id]
 		if !ok {
 			return
--- a/internal/session/entryhost.go
+++ b/internal/session/entryhost.go
@@ -26,7 +26,7 @@
 // call is one request at its entry.
 type call struct {
 	req     *request
-	ticket  *entry.Ticket
+	ticket  *entry.AdmittedRequest
 	streams []*stream
 	settled []bool
 	agent   string
@@ -58,7 +58,7 @@
 			continue
 		}
 		if h.patienceOver(c) {
-			h.apply(c, c.ticket.HungUp())
+			h.apply(c, c.ticket.CallerDisconnected())
 			continue
 		}
 		h.apply(c, c.ticket.Tick(h.s.world.now))
@@ -202,9 +202,9 @@
 	}
 	x.lost = true
 	h.settle(x.call, x.n)
-	effects := x.call.ticket.Broken(h.s.world.now, x.n, false)
+	effects := x.call.ticket.AttemptLost(h.s.world.now, x.n, false)
 	if len(effects) > 0 {
-		h.core.Lost(h.s.world.now, x.agent.id)
+		h.core.AgentFailed(h.s.world.now, x.agent.id)
 	}
 	h.apply(x.call, effects)
 }
--- a/internal/session/policy.go
+++ b/internal/session/policy.go
@@ -24,7 +24,7 @@
 	Agent: agent.Options{Queue: queue.Policy{FIFO: true}, NoRefusal: true, NoPreemption: true},
 	Entry: entry.Options{
 		Route:    route.Options{Random: true, NoPrefix: true, NoEjection: true},
-		Dispatch: dispatch.Options{Width: 1, Offers: 2, NoResume: true},
+		Dispatch: dispatch.Options{ConcurrentOffers: 1, MaxOffers: 2, NoResume: true},
 		NoGates:  true,
 	},
 }
@@ -33,13 +33,13 @@
 // pushed to the best of the agents that were sampled.
 var OneAgent = Policy{
 	Name:  "one-agent",
-	Entry: entry.Options{Dispatch: dispatch.Options{Width: 1}},
+	Entry: entry.Options{Dispatch: dispatch.Options{ConcurrentOffers: 1}},
 }
 
 // ThreeAgents offers each request to three agents instead of two.
 var ThreeAgents = Policy{
 	Name:  "three-agents",
-	Entry: entry.Options{Dispatch: dispatch.Options{Width: 3}},
+	Entry: entry.Options{Dispatch: dispatch.Options{ConcurrentOffers: 3}},
 }
 
 // Policies returns the policies that the measure compares.
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -122,7 +122,7 @@
 	broken := Policy{
 		Name:  "broken",
 		Agent: agent.Options{Queue: queue.Policy{FIFO: true}, NoPreemption: true},
-		Entry: entry.Options{Dispatch: dispatch.Options{Width: 1}},
+		Entry: entry.Options{Dispatch: dispatch.Options{ConcurrentOffers: 1}},
 	}
 	s, err := Run(script, exampleConfig(t, "tallowbark"), broken)
 	is.NoErr(err)
