--- a/internal/core/balance/backup.go
+++ b/internal/core/balance/backup.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// backupShare is the least part that the answer has of all tokens of a run that
-// is worth a backup. A backup copies every token over a link, and it protects
-// the time in which the answer is made: a long prompt with a short answer costs
-// much and is exposed for moments only.
+// minBackupOutputShare is the minimum share of the answer in all tokens of a request for
+// which a backup is worthwhile. A backup copies every token over a link and protects the
+// request while the answer is generated: a long prompt with a short answer costs much and
+// is exposed only briefly.
 const minBackupOutputShare = 0.35
 
-// Backup is an engine that keeps a copy of a run's memory. The zero value is
+// Backup is an engine that keeps a copy of a request's KV cache. The zero value means
 // none.
 type Backup struct {
-	// ID is of the instance.
+	// ID is the ID of the instance.
 	ID      string
 	Address string
 }
@@ -19,7 +19,7 @@
 // Any reports whether there is a copy.
 func (b Backup) Any() bool { return b.ID != "" }
 
-// worthBackup reports whether a copy of the run's memory is worth its cost.
+// worthBackup reports whether a copy of the request's KV cache is worth its cost.
 func (p *pool) worthBackup(r Request) bool {
 	if p.engine == nil || !p.engine.Backups {
 		return false
@@ -28,8 +28,8 @@
 	return output >= minBackupOutputShare*(output+float64(r.Prompt.Tokens))
 }
 
-// backupFor returns the engine with the least to do beside the chosen one. One with a limit
-// is none: to go on there takes a turn.
+// backupFor returns the engine with the fewest requests apart from the chosen one.
+// Engines with a rate limit are excluded, as continuing there takes a turn.
 func backupFor(now time.Time, chosen *upstream, candidates []*upstream, r Request) Backup {
 	var best *upstream
 	var load float64
@@ -48,9 +48,9 @@
 	return Backup{ID: best.ID, Address: best.Address}
 }
 
-// Continue counts the request at the engine that keeps its backup, which reads
-// nothing anew. It reports false if that engine has gone by any word, leaves, rests, is
-// ejected, cold, without a turn, or stands in an evacuated availability zone.
+// Continue counts the request at the engine that keeps its backup, where no prefill is
+// needed. It returns false if that engine is gone, leaving, backing off, ejected, cold,
+// without a turn or in an evacuated availability zone.
 func (t *Table) Continue(now time.Time, r Request, b Backup) (Choice, bool) {
 	u, ok := t.upstreams[b.ID]
 	if !ok || !u.present(now) || u.gone(now) || u.peersFoundGone(now) || u.ejected(now) {
--- a/internal/core/balance/baseline.go
+++ b/internal/core/balance/baseline.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// usual is what the upstreams of a pool have in common now.
+// baseline holds the current means over the upstreams of a pool.
 type baseline struct {
-	// work is the mean time of an answer in milliseconds.
+	// latencyMs is the mean duration of an answer in milliseconds.
 	latencyMs float64
 	gaps      medianGaps
 }
 
-// usual returns it for the pool.
+// baseline returns the current means of the pool.
 func (p *pool) baseline(now time.Time) baseline {
 	return baseline{latencyMs: p.meanLatencyMs(), gaps: p.medianGaps(now)}
 }
--- a/internal/core/balance/busy.go
+++ b/internal/core/balance/busy.go
@@ -2,19 +2,21 @@
 
 import "time"
 
-// The load that this answers: more comes than fits. How old the words of other gateways
-// are decides then how much of it is served in time; in calm times words that come more
-// often only cost.
+// When more requests arrive than fit, the age of the loads reported by other gateways
+// determines how many requests are served in time. At low load more frequent reports only
+// add cost.
 
 const (
-	// busyBacklog is the mean time, in milliseconds, that the engines of a pool need to
-	// read what they have from which on the pool is busy: half of a long prompt.
+	// busyBacklog is the mean prefill backlog of a pool's engines, in milliseconds, from
+	// which on the pool is busy: half of a long prompt.
 	busyBacklog = 25.0
-	// busySlots is the part of a plain service's slots that are taken, from which on it is.
+	// busySlotShare is the fraction of a plain service's slots in use from which on it is
+	// busy.
 	busySlotShare = 0.5
 )
 
-// Busy reports whether the upstreams of a pool have so much to do that old words cost.
+// Busy reports whether the upstreams of any pool are so loaded that stale peer loads are
+// costly.
 func (t *Table) Busy(now time.Time) bool {
 	for _, p := range t.pools {
 		if p.isBusy(now) {
--- a/internal/core/balance/cache.go
+++ b/internal/core/balance/cache.go
@@ -7,37 +7,37 @@
 	"github.com/gladegauge/gladegauge/internal/core/occupancy"
 )
 
-// Bounds of the picture of an engine's KV cache.
+// Bounds of the model of an engine's KV cache.
 const (
-	// cacheShare is the part of an engine's memory that the parts in the
-	// picture may fill; the rest is for running requests and for parts that
-	// other gateways caused.
+	// cacheShare is the fraction of an engine's memory that the modelled parts may fill;
+	// the rest is for running requests and for parts cached on behalf of other gateways.
 	cacheShare = 0.5
-	// cacheEntries bounds the memory of the picture of one engine.
+	// maxCacheEntries bounds the size of the model of one engine.
 	maxCacheEntries = 2048
-	// cacheKeep is how long a part is believed to be kept without use.
+	// cacheTTL is how long an unused part is assumed to stay cached.
 	cacheTTL = 30 * time.Second
 )
 
-// cachedPart is one part of a prompt in the picture. There are tens of thousands of them
-// where hundreds of engines keep what a whole fleet sends, so that it is kept small.
+// cachedPart is one part of a prompt in the model. It is kept small, as there are tens of
+// thousands of them when hundreds of engines cache the prompts of a whole fleet.
 type cachedPart struct {
-	// usedAt is when it was used last, in nanoseconds since 1970.
+	// usedAt is the time of its last use, in nanoseconds since 1970.
 	usedAt int64
 	tokens int32
-	// read is true once the engine has read it; before, it is on its way there.
+	// read is true once the engine has prefilled the part; before, a request with it is
+	// on its way.
 	read bool
 }
 
-// unused is how long the part has not been used.
+// unused is the time since the last use of the part.
 func (p cachedPart) unused(now time.Time) time.Duration {
 	return time.Duration(now.UnixNano() - p.usedAt)
 }
 
-// cache is what one engine is believed to keep, by what was sent to it.
+// cache models the contents of one engine's KV cache from the requests sent to it.
 type cache struct {
 	parts map[uint64]cachedPart
-	// tokens is the size of all parts; limit bounds it, 0 means no bound.
+	// tokens is the total size of the parts; maxTokens bounds it, 0 means unbounded.
 	tokens    int
 	maxTokens int
 }
@@ -48,16 +48,16 @@
 	return c
 }
 
-// setMemory bounds the picture by the engine's memory; 0 means no bound.
+// setMemory bounds the model by the engine's memory; 0 means unbounded.
 func (c *cache) setMemory(tokens int) { c.maxTokens = int(cacheShare * float64(tokens)) }
 
-// held returns the tokens of the prompt that the engine is believed to keep by the
-// time that it reads the next one.
+// kept returns the tokens of the prompt that the engine is expected to have cached by the
+// time it reads the next one.
 func (c *cache) kept(now time.Time, p Prompt, keys []uint64) int {
 	return c.prefixTokens(now, p, keys, false)
 }
 
-// heldNow returns those that it has read already.
+// keptAndRead returns those that it has prefilled already.
 func (c *cache) keptAndRead(now time.Time, p Prompt, keys []uint64) int {
 	return c.prefixTokens(now, p, keys, true)
 }
@@ -74,8 +74,8 @@
 	return tokens
 }
 
-// used notes that the engine has read the prompt, or that it is on its way there.
-// It returns the shared parts that this is new of, without their engine.
+// record notes that the engine has prefilled the prompt, or that the prompt is on its way
+// there. It returns the shared parts whose state changed, without their engine.
 func (c *cache) record(now time.Time, p Prompt, keys []uint64, read bool) []occupancy.Part {
 	var added []occupancy.Part
 	shared := len(p.shared())
@@ -88,8 +88,8 @@
 	return added
 }
 
-// put notes a part and reports whether it was not known, or not as read, or not
-// used for long.
+// put records a part and reports whether it was unknown, not yet read, or unused for
+// long.
 func (c *cache) put(now time.Time, key uint64, tokens int, read bool) bool {
 	known, ok := c.parts[key]
 	if !ok {
@@ -99,7 +99,7 @@
 	return !ok || (read && !known.read) || known.unused(now) > cacheTTL/3
 }
 
-// unread forgets the parts that were on their way and will not be read after all.
+// dropUnread removes the parts that were on their way and will not be read after all.
 func (c *cache) dropUnread(keys []uint64) {
 	for _, key := range keys {
 		if part, ok := c.parts[key]; ok && !part.read {
@@ -109,7 +109,7 @@
 	}
 }
 
-// forget drops the parts that are no longer believed to be kept.
+// expire removes the parts that are no longer assumed to be cached.
 func (c *cache) expire(now time.Time) {
 	for key, part := range c.parts {
 		if part.unused(now) > cacheTTL {
@@ -119,7 +119,7 @@
 	}
 }
 
-// limitSize forgets parts beyond the bounds.
+// evictExcess removes parts beyond the bounds.
 func (c *cache) evictExcess() {
 	for len(c.parts) > maxCacheEntries || (c.maxTokens > 0 && c.tokens > c.maxTokens) {
 		if !c.evict() {
@@ -128,7 +128,7 @@
 	}
 }
 
-// evict forgets the part that was unused for the longest, as the engine does.
+// evict removes the least recently used part, as the engine does.
 func (c *cache) evict() bool {
 	var oldest uint64
 	at := int64(math.MaxInt64)
--- a/internal/core/balance/capacity.go
+++ b/internal/core/balance/capacity.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// capacities returns what each upstream may get, as a part of what one without a limit can
-// take.
+// capacities returns a function for the capacity of an upstream, relative to that of one
+// without a rate limit.
 func (p *pool) capacities() func(*upstream) float64 {
 	work := 0.0
 	return func(u *upstream) float64 {
--- a/internal/core/balance/cold.go
+++ b/internal/core/balance/cold.go
@@ -7,30 +7,30 @@
 	"github.com/gladegauge/gladegauge/internal/core/warmup"
 )
 
-// The load that this answers: a part of a pool comes back after a crash, in the midst
-// of a burst. The upstreams look idle, get everything, and fall over while they are
-// cold.
+// When a part of a pool restarts after a crash in the middle of a burst, the restarted
+// upstreams look idle, attract all requests, and crash again while they are cold.
 
-// ColdLimits are what the operators let cold upstreams get from all gateways together:
-// Overrun times the requests of a second that one handles, and Slack on top.
+// ColdLimits bounds what cold upstreams get from all gateways together: Overrun times the
+// requests per second that one handles, plus Slack.
 type ColdLimits struct {
 	Overrun float64
 	Slack   float64
 }
 
-// coldSplit is how the cold upstreams of a pool are shared out.
+// coldSplit is how the capacity of a pool's cold upstreams is shared out.
 type coldSplit struct {
 	warmup.Bounds
 	split warmup.Split
 }
 
-// SetColdLimits takes the operators' limits; holds tells whether this gateway is one of
-// the first n in the order of all of them for a key. They hold from the next pools on.
+// SetColdLimits sets the operators' limits; holds reports whether this gateway is among
+// the first n gateways in rendezvous order for a key. The limits apply from the next
+// SetPools on.
 func (t *Table) SetColdLimits(l ColdLimits, holds func(now time.Time, key uint64, n int) bool) {
 	t.coldLimits, t.holds = l, holds
 }
 
-// coldSplitOf works out the split of a pool.
+// coldSplitOf computes the split of a pool.
 func (t *Table) coldSplitOf(c ingress.Cold) coldSplit {
 	b := warmup.Bounds{
 		PerSecond: c.PerSecond,
@@ -40,12 +40,12 @@
 	return coldSplit{Bounds: b, split: warmup.SplitOf(b)}
 }
 
-// bounded reports whether the pool's cold upstreams bear less than warm ones.
+// bounded reports whether the pool's cold upstreams handle less than warm ones.
 func (c coldSplit) bounded() bool { return c.PerSecond > 0 }
 
-// becomesCold takes what an entry says of an upstream, and reports whether it was warm
-// and is cold. One whose availability zone was taken back may have become cold just
-// before, without a word yet.
+// becomesCold applies a list entry to the upstream's warm-up state, and reports whether
+// the upstream was warm and is cold now. An upstream whose availability zone is no longer
+// evacuated may have become cold just before, without having reported it yet.
 func (t *Table) becomesCold(now time.Time, u *upstream, in Instance) bool {
 	before := u.warmup.Cold(now)
 	u.warmup = u.warmup.With(in.ColdUntil)
@@ -55,13 +55,13 @@
 	return !before && u.warmup.Cold(now)
 }
 
-// isCold reports whether the upstream bears less than a warm one now.
+// isCold reports whether the upstream handles less than a warm one now.
 func (p *pool) isCold(now time.Time, u *upstream) bool {
 	return p.cold.bounded() && u.warmup.Cold(now)
 }
 
-// mayGet reports whether this gateway may send the upstream a request: to a cold one, and
-// to one with a limit, only its holders do, each at its pace.
+// maySend reports whether this gateway may send the upstream a request: only holders send
+// to a cold upstream or one with a rate limit, each at its own pace.
 func (t *Table) maySend(now time.Time, p *pool, u *upstream, lowestPriority bool) bool {
 	if p.isCold(now, u) && (!u.warmup.Free(now) || !t.holds(now, u.hash, p.cold.split.Holders)) {
 		return false
--- a/internal/core/balance/cost.go
+++ b/internal/core/balance/cost.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// Weights of a pick, in milliseconds of expected cost unless said otherwise.
+// Weights of the cost function, in milliseconds of expected cost unless stated otherwise.
 const (
-	// zoneCost is the handicap of an upstream in another availability zone;
-	// zones are about a millisecond apart, there and back.
+	// zoneCost is the penalty of an upstream in another availability zone; the round trip
+	// between zones takes about a millisecond.
 	zoneCost = 2.0
-	// readWeight is how much reading a prompt anew counts, as a multiple of
-	// the time it takes: the engine is lost for others as well.
+	// readWeight weights the time to prefill the prompt. It is above 1 because prefill
+	// delays other requests at the engine as well.
 	readWeight = 2.0
-	// patientTarget is the target from which on a wait counts for less, in
-	// proportion; leastWaitWeight bounds that. A request that may wait keeps to
-	// the engine that has its prompt.
+	// relaxedTarget is the first-event target above which a wait is weighted less, in
+	// inverse proportion to the target; minWaitWeight is the lower bound of that weight.
+	// A request that can wait thus stays with the engine that has its prompt cached.
 	relaxedTarget = 400 * time.Millisecond
 	minWaitWeight = 0.3
-	// harmWeight is what a millisecond of reading costs for each tight stream
-	// that runs beside it, of any gateway.
+	// harmWeight is the cost of a millisecond of prefill for each tight stream of any
+	// gateway at the engine.
 	harmWeight = 0.12
-	// slotCost is what one more request in a batch costs.
+	// slotCost is the cost of one more request in a batch.
 	slotCost = 0.6
-	// sharedWork is the part of a request's work that the requests beside it
-	// add, when the slots of a plain service are full.
+	// sharingFactor is the relative increase of a request's duration at a plain service
+	// when all of its slots are taken.
 	sharingFactor = 0.5
-	// silenceAfter is the time without a word, after a request was sent, from
-	// which on an upstream is doubted. It is several times a usual first event.
+	// silenceThreshold is the time without any data after a request was sent above which
+	// an upstream is penalised. It is several times the usual time to the first event.
 	silenceThreshold = 400 * time.Millisecond
-	// silenceWeight is the cost of each millisecond of silence beyond that.
+	// silenceWeight is the cost of each millisecond of silence above the threshold.
 	silenceWeight = 2.0
-	// overdueWeight is the cost of each millisecond for which the prompts at an
-	// engine have waited for longer than can be explained.
+	// overdueWeight is the cost of each millisecond by which the prompts at an engine are
+	// overdue.
 	overdueWeight = 1.0
 )
 
@@ -56,7 +56,7 @@
 	return cost
 }
 
-// waitWeight is how much a millisecond of waiting counts.
+// waitWeight is the weight of a millisecond of waiting.
 func waitWeight(target time.Duration) float64 {
 	if target <= relaxedTarget {
 		return 1
@@ -71,7 +71,7 @@
 	return work * (1 + max(0, c.InFlight+1-slots)/slots + sharingFactor*c.InFlight/slots)
 }
 
-// silenceCost grows while an upstream that was asked says nothing.
+// silenceCost grows while an upstream with pending requests sends nothing.
 func silenceCost(now time.Time, u *upstream) float64 {
 	if u.awaitingSince.IsZero() {
 		return 0
--- a/internal/core/balance/fetch.go
+++ b/internal/core/balance/fetch.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// Copies of KV cache between engines.
+// Copying of KV cache between engines.
 const (
-	// fetchLeast is the least number of tokens that are worth a copy: to set one
-	// up takes an engine a few milliseconds, in which it reads about as many.
+	// minFetchTokens is the minimum number of tokens for which a copy is worthwhile:
+	// setting up a copy takes an engine a few milliseconds, in which it could prefill
+	// about as many.
 	minFetchTokens = 128
-	// bitsPerByte turns the size of a token into bits.
+	// bitsPerByte converts the size of a token to bits.
 	bitsPerByte = 8
-	// mbpsBits is what a link of a megabit a second carries in a millisecond, in
-	// bits.
+	// bitsPerMbpsMs is the number of bits that a link of one megabit per second carries
+	// in a millisecond.
 	bitsPerMbpsMs = 1000
 )
 
-// source is an engine that keeps a beginning of a prompt.
+// source is an engine that has the beginning of a prompt cached.
 type source struct {
 	upstream *upstream
-	// tokens is the part that it is believed to keep.
+	// tokens is the number of tokens that it is expected to have cached.
 	tokens int
 }
 
-// sourceFor returns the engine that the chosen one should copy from; one with
-// no tokens if a copy is not worth it. The engine copies only what it lacks, so
-// that naming one costs nothing. One is named also if the chosen engine is believed to
-// keep all of it: where memory is short, parts give way that this gateway still
-// believes in. That took a tenth of the shared parts that were read again away on a
+// sourceFor returns the engine that the chosen one should copy from, with no tokens if a
+// copy is not worthwhile. The engine copies only the tokens that it lacks, so naming a
+// source costs nothing. A source is named even if the chosen engine is expected to have
+// all of the prompt cached: when memory is short, it evicts parts that this gateway still
+// assumes to be there. That saved a tenth of the repeated prefill of shared parts on one
 // day of bursts, and a fifth on another.
 func (p *pool) sourceFor(now time.Time, chosen *upstream, candidates []*upstream, prompt Prompt, keys []uint64) source {
 	if len(prompt.shared()) == 0 || !p.copiesCache() {
@@ -38,15 +39,15 @@
 	return best
 }
 
-// copies reports whether the pool's engines copy KV cache from one another, over
-// a link of known speed.
+// copiesCache reports whether the pool's engines copy KV cache from one another over a
+// link of known bandwidth.
 func (p *pool) copiesCache() bool {
 	return p.engine != nil && p.engine.Moves && p.engine.LinkMbps > 0
 }
 
-// mostKept returns the engine beside the chosen one that is believed to keep the
-// most of the shared parts: one that this gateway used, or the home of a
-// beginning.
+// bestSource returns the engine other than the chosen one that is expected to have the
+// most of the shared parts cached: one that this gateway has used, or the home of a
+// prefix.
 func bestSource(now time.Time, chosen *upstream, candidates []*upstream, prompt Prompt, keys []uint64) source {
 	var best source
 	consider := func(u *upstream, tokens int) {
@@ -66,8 +67,8 @@
 	return best
 }
 
-// moveMs is the time that a copy of the tokens takes on the link between two
-// engines, in milliseconds.
+// transferMs is the time to copy the tokens over the link between two engines, in
+// milliseconds.
 func (p *pool) transferMs(tokens int) float64 {
 	return float64(tokens*p.engine.TokenBytes*bitsPerByte) / (p.engine.LinkMbps * bitsPerMbpsMs)
 }
--- a/internal/core/balance/gap_risk.go
+++ b/internal/core/balance/gap_risk.go
@@ -3,19 +3,20 @@
 import "time"
 
 const (
-	// pauseWeight is the weight of the latest stream in an engine's pauses.
+	// longestGapWeight is the weight of the latest stream in an engine's mean longest
+	// gap.
 	longestGapWeight = 0.15
-	// pauseFrom and pauseTo are the multiples of a pause target between which the
-	// pauses of an engine go from harmless to a miss.
+	// gapRiskFrom and gapRiskTo are the multiples of a gap target between which the mean
+	// longest gap of an engine goes from harmless to a certain miss.
 	gapRiskFrom = 0.7
 	gapRiskTo   = 1.1
-	// pauseCost is the cost of an engine whose streams miss their pause target, in
+	// gapMissCost is the cost of an engine whose streams miss their gap target, in
 	// milliseconds of waiting.
 	gapMissCost = 100.0
 )
 
-// pauseRisk is how likely a stream that bears the pause misses it at the engine, by
-// the streams before it: 0 to 1.
+// gapMissRisk is the probability that a stream misses the gap target at the engine,
+// estimated from previous streams: 0 to 1.
 func (u *upstream) gapMissRisk(now time.Time, target time.Duration) float64 {
 	own, ok := u.longestGap.value(now)
 	longest, ok := u.combineGap(now, own, ok, u.peerLoad.Longest, u.peerLoad.Longests)
--- a/internal/core/balance/gap_targets.go
+++ b/internal/core/balance/gap_targets.go
@@ -6,28 +6,28 @@
 	"github.com/gladegauge/gladegauge/internal/core/ingress"
 )
 
-// tightFactor: a stream is tight if its pause target is at most this many times
-// the shortest one of the pool.
+// tightFactor: a stream is tight if its gap target is at most this many times the
+// shortest one of the pool.
 const tightFactor = 1.3
 
-// leastYield is how much a request yields to tight streams that do not stand above
-// it, as a multiple of one tier's.
+// minYield is the weight with which a request that does not rank below tight streams
+// yields to them, as a multiple of that of one tier.
 const minYield = 0.5
 
-// pauses tells the streams of a pool apart whose callers bear only short pauses.
-// Prompts that are read beside them make them pause.
+// gapTargets identifies the streams of a pool with a tight gap target. Prefill beside
+// them lengthens their gaps.
 type gapTargets struct {
-	// limit is the longest pause target that counts as tight; 0 if the routes of
-	// the pool are alike.
+	// tightLimit is the longest gap target that counts as tight; 0 if the routes of the
+	// pool are alike.
 	tightLimit time.Duration
-	// tier is the highest rank among the routes of such streams.
+	// tier is the highest rank among the routes of tight streams.
 	tier int
 }
 
-// isTight reports whether streams that bear this pause bear only short ones.
+// isTight reports whether a stream with this gap target is tight.
 func (p *gapTargets) isTight(target time.Duration) bool { return target > 0 && target <= p.tightLimit }
 
-// set takes the pauses of the pool's routes, the shortest first.
+// set derives the values from the gap targets of the pool's routes, shortest first.
 func (p *gapTargets) set(list []ingress.Pause) {
 	*p = gapTargets{}
 	if len(list) == 0 {
@@ -46,8 +46,8 @@
 	}
 }
 
-// yield is how much a request of the tier yields to tight streams: the more, the
-// further it stands below them.
+// yield is the weight with which a request of the tier yields to tight streams; it grows
+// with the distance below their tier.
 func (p *gapTargets) yield(tier int) float64 {
 	return max(minYield, float64(tier-p.tier))
 }
--- a/internal/core/balance/gaps.go
+++ b/internal/core/balance/gaps.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	// tempoSpan is how long the shortest gaps of an engine are remembered: twice
-	// as long at most. Even an engine that reads all the time has a pause in it.
+	// baseGapWindow is how long the shortest gaps of an engine are remembered, at most
+	// twice as long. Even an engine with constant prefill has a break within this time.
 	baseGapWindow = time.Second
-	// tempoLeast is the number of gaps that say something.
+	// minGapSamples is the minimum number of gaps for a useful sample.
 	minGapSamples = 3
-	// strainWeight is the weight of the latest stretch in the strain: it follows
-	// what an engine reads within a second or two.
+	// meanGapWeight is the weight of the latest sample in the mean gap: it follows the
+	// prefill load of an engine within a second or two.
 	meanGapWeight = 0.1
 )
 
-// Gaps are the times between events of one stream since the last word about it.
+// Gaps summarises the times between events of one stream since the last report.
 type Gaps struct {
 	n       int
 	sum     time.Duration
 	longest time.Duration
 }
 
-// With returns the gaps with one more.
+// With returns the gaps with one more added.
 func (g Gaps) With(d time.Duration) Gaps {
 	g.n++
 	g.sum += d
@@ -28,9 +28,9 @@
 	return g
 }
 
-// typical is the mean of the gaps without the longest one, in which a prompt may
-// have been read, in milliseconds; false if there are too few. Events that came
-// late together do not change it.
+// typical is the mean of the gaps without the longest one, during which a prompt may have
+// been read, in milliseconds; false if there are too few. Events that arrive late and
+// together do not change it.
 func (g Gaps) typical() (float64, bool) {
 	if g.n < minGapSamples {
 		return 0, false
@@ -38,8 +38,8 @@
 	return milliseconds(g.sum-g.longest) / float64(g.n-1), true
 }
 
-// strain is the mean gap, whatever was read meanwhile, in milliseconds; false if
-// there is none.
+// meanGap is the mean of all gaps, including those during prefill, in milliseconds; false
+// if there are none.
 func (g Gaps) meanGap() (float64, bool) {
 	if g.n == 0 {
 		return 0, false
@@ -47,8 +47,8 @@
 	return milliseconds(g.sum) / float64(g.n), true
 }
 
-// tempo is the usual gap of an engine while it reads nothing: the shortest one of
-// any of its streams lately, in milliseconds.
+// baseGap is the gap of an engine without concurrent prefill: the recent minimum over its
+// streams, in milliseconds.
 type baseGap struct {
 	gap         float64
 	previous    float64
@@ -56,7 +56,7 @@
 	at          time.Time
 }
 
-// learn takes a typical gap.
+// learn records a typical gap.
 func (t *baseGap) learn(now time.Time, gap float64) {
 	if now.Sub(t.windowStart) > baseGapWindow {
 		t.previous, t.gap, t.windowStart = t.gap, 0, now
@@ -70,7 +70,7 @@
 	t.at = now
 }
 
-// value returns the tempo; false if nothing was learned lately.
+// value returns the base gap; false if there are no recent samples.
 func (t *baseGap) value(now time.Time) (float64, bool) {
 	if t.at.IsZero() || now.Sub(t.at) > sampleTTL {
 		return 0, false
--- a/internal/core/balance/gone.go
+++ b/internal/core/balance/gone.go
@@ -2,68 +2,69 @@
 
 import "time"
 
-// The load that this answers: a part of a pool crashes at once. Dead engines look
-// idle, so that every gateway sends its next requests there, and finds each of them
-// out for itself until the list tells of the crash.
+// When a part of a pool crashes at once, the dead engines look idle. Every gateway sends
+// its next requests there and detects each of them separately until the list is updated.
 
 const (
-	// goneWitnesses is the number of other gateways whose word is taken for a dead
-	// upstream. One alone may be wrong or confused.
+	// goneQuorum is the number of other gateways that must have found an upstream gone. A
+	// single one may be mistaken.
 	goneQuorum = 2
-	// goneHeard is the time after which what an upstream said itself no longer
-	// speaks against such words. It is a little longer than words take.
+	// peerGoneGrace is how long data from an upstream overrides such reports. It is a
+	// little longer than the reports take to arrive.
 	peerGoneGrace = 500 * time.Millisecond
-	// maxToldGoneShare is the part of a pool that may be left out by the word of
-	// others. Beyond it the words say more about those who tell them.
+	// maxAvoidedShare is the fraction of a pool that may be avoided because of reports by
+	// other gateways. Beyond it the reports say more about the reporting gateways.
 	maxAvoidedShare = 0.5
 )
 
-// gone reports whether another start has taken the upstream's place, or nothing
-// listens there, as this gateway found itself.
+// gone reports whether this gateway found that another incarnation has taken the
+// upstream's place or that nothing listens at its address.
 func (u *upstream) gone(now time.Time) bool {
 	return u.superseded || now.Before(u.goneUntil)
 }
 
-// FoundGone notes that the gateway found that this start of the upstream has ended.
+// FoundGone records that the gateway found that this incarnation of the upstream has
+// ended.
 func (t *Table) FoundGone(now time.Time, in Instance) {
 	if u, ok := t.upstreams[in.ID]; ok && u.incarnation == in.Start() {
 		u.goneUntil = now.Add(goneTTL)
 	}
 }
 
-// IsGone reports whether the gateway itself found that this start of the upstream has
-// ended.
+// IsGone reports whether the gateway itself found that this incarnation of the upstream
+// has ended.
 func (t *Table) IsGone(now time.Time, in Instance) bool {
 	u, ok := t.upstreams[in.ID]
 	return ok && u.incarnation == in.Start() && u.gone(now)
 }
 
-// Leaves reports whether the end of the upstream is no surprise: it has said that it
-// leaves, its availability zone is emptied, or it is on the list no more.
+// Leaves reports whether the end of the upstream is expected: it announced that it
+// leaves, its availability zone is being emptied, or it is no longer listed.
 func (t *Table) Leaves(id string) bool {
 	u, ok := t.upstreams[id]
 	return !ok || !u.open()
 }
 
-// toldGone reports whether enough other gateways found the upstream gone, and it
-// has said nothing to this one since.
+// peersFoundGone reports whether enough other gateways found the upstream gone, and it
+// has sent nothing to this one since.
 func (u *upstream) peersFoundGone(now time.Time) bool {
 	return u.peerLoad.Gone >= goneQuorum && u.hasPeerLoad(now) && now.Sub(u.lastHeardAt) > peerGoneGrace
 }
 
-// toldClosed reports whether the upstream said to enough other gateways that it leaves, or
-// wants rest, and has said nothing to this one since.
+// peersFoundClosed reports whether the upstream told enough other gateways that it leaves
+// or needs a backoff, and it has sent nothing to this one since.
 func (u *upstream) peersFoundClosed(now time.Time) bool {
 	return u.peerLoad.Closed >= goneQuorum && u.hasPeerLoad(now) && now.Sub(u.lastHeardAt) > peerGoneGrace && !u.notices.Away(now)
 }
 
-// toldAway reports whether others go before the upstream by the word of other gateways.
+// peersAvoid reports whether the upstream is to be tried last because of reports or votes
+// of other gateways.
 func (u *upstream) peersAvoid(now time.Time) bool {
 	return u.peersFoundGone(now) || u.peersFoundClosed(now) || u.health.PutLast(now)
 }
 
-// believesAway reports whether the words of others on upstreams that are gone or closed,
-// and the votes against them, may be acted on: they leave enough of the pool.
+// trustsPeers reports whether this gateway may act on reports that upstreams are gone or
+// closed and on votes against them: enough of the pool must remain.
 func (p *pool) trustsPeers(now time.Time) bool {
 	n, present := 0, 0.0
 	capacity := p.capacities()
--- a/internal/core/balance/hanging.go
+++ b/internal/core/balance/hanging.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// The load that this answers: an upstream lets most requests hang. Their callers leave, so
-// that none of them fails; then nothing is left there, the upstream looks idle, and the
-// next requests go there, in waves as far apart as callers wait.
+// An upstream may let most requests hang. Their callers leave, so no request fails; the
+// upstream then looks idle and attracts the next requests, in waves as long as the
+// callers' patience.
 //
-// A prompt that hangs counts as a request that failed, for votes and trials. Ejection
-// stays a matter of answers, as a long wait may be the request's own. At an engine that is
-// full prompts wait for others to end, and how long the work of a plain service takes is
-// not known beforehand: neither is a fault.
+// A hanging prompt counts as a failed request for votes and trials. Ejection depends on
+// answers only, as a long wait may be caused by the request itself. Two cases are not
+// faults: at a full engine prompts wait for other requests to end, and the duration of a
+// plain service's work is not known in advance.
 
-// hangsFrom is for how long a prompt must be overdue to be taken to hang, in milliseconds.
-// It is as long as an upstream may be silent without a doubt.
+// hangThresholdMs is the time for which a prompt must be overdue to count as hanging, in
+// milliseconds. It equals the silence threshold.
 const hangThresholdMs = float64(silenceThreshold / time.Millisecond)
 
-// Hanging is an upstream at which a prompt began to hang, and how long it had waited.
+// Hanging is an upstream at which a prompt started to count as hanging, and the time it
+// had waited.
 type Hanging struct {
 	ID     string
 	Waited time.Duration
 }
 
-// noteHanging counts the prompts of this gateway at the upstream that hang, and returns
-// those that count from now on.
+// noteHanging updates the hanging prompts of this gateway at the upstream, and returns
+// those that newly count as hanging.
 func (p *pool) noteHanging(now time.Time, u *upstream) []Hanging {
 	var out []Hanging
 	for _, r := range u.running {
@@ -33,8 +34,8 @@
 	return out
 }
 
-// noteIfHanging takes note of a prompt that hangs, and reports whether it counts as a failure
-// from now on.
+// noteIfHanging records a hanging prompt, and reports whether it newly counts as a
+// failure.
 func (p *pool) noteIfHanging(now time.Time, u *upstream, r *run) bool {
 	if r.tokens == 0 || r.started || r.overdue(now) < hangThresholdMs || u.reportedFull(now) || p.isFull(now, u, 0) {
 		return false
--- a/internal/core/balance/health.go
+++ b/internal/core/balance/health.go
@@ -4,28 +4,30 @@
 
 // Bounds of ejection.
 const (
-	// ejectRate is the failure rate, above the pool's own, that ejects an
-	// upstream: two failures after a clean past stay below it, three do not.
+	// ejectRate is the failure rate above the pool's own at which an upstream is ejected:
+	// two failures after a clean history stay below it, three do not.
 	ejectRate = 0.3
-	// refusedAtOnce is the time within which an upstream refuses for a fault of its own; later
-	// the request had waited in its queue. It is several round trips.
+	// immediateRefusal is the time within which a refusal is attributed to a fault of the
+	// upstream; a later one means that the request had waited in its queue. It is several
+	// round trips.
 	immediateRefusal = 200 * time.Millisecond
-	// refusedLeft is the least time that a request must have left for its refusal to say
-	// something: upstreams refuse what they cannot answer in time.
+	// minTimeLeft is the minimum time to its deadline that a request must have for its
+	// refusal to be evidence: upstreams refuse requests that they cannot answer in time.
 	minTimeLeft = 100 * time.Millisecond
-	// unreachableFor is how long an upstream is left alone after a connection
-	// to it could not be made.
+	// unreachableBackoff is how long an upstream is skipped after a connection to it
+	// could not be established.
 	unreachableBackoff = 700 * time.Millisecond
-	// goneFor is how long an upstream is taken to be gone after nothing listened at
-	// its address, or another start answered there. By then its entry has lapsed,
-	// after three heartbeats of about a second; if not, it is tried again.
+	// goneTTL is how long an upstream is considered gone after nothing listened at its
+	// address or another incarnation answered there. By then its entry has lapsed, after
+	// three heartbeats of about a second; otherwise it is tried again.
 	goneTTL = 5 * time.Second
-	// maxEjectedShare is the part of what is there of a pool that may be ejected at once.
+	// maxEjectedShare is the fraction of a pool's available upstreams that may be ejected
+	// at once.
 	maxEjectedShare = 0.5
 )
 
-// refused leaves the upstream out for a while. Without it one that refuses looks idle and
-// draws its pool's requests.
+// noteRefusal skips the upstream for a while. Otherwise an upstream that refuses requests
+// looks idle and attracts those of its pool.
 func (t *Table) noteRefusal(now time.Time, u *upstream, r *run, said *Load) {
 	p := t.pool(u.Pool)
 	next, d := u.health.WithRefusal(now, said.isFull() || p.refusalJustified(now, u, r))
@@ -35,17 +37,17 @@
 	}
 }
 
-// rightly reports whether the upstream was right to refuse the request, as far as one can
-// tell: it had as much as it takes, or no room for such a large one; the request had
-// waited in its queue, or had hardly any time. Otherwise one caller with such requests
-// could have upstreams left out.
+// refusalJustified reports whether the upstream had a reason to refuse the request, as
+// far as this gateway can tell: it was full, it had no memory for such a large request,
+// the request had waited in its queue, or the request had hardly any time left. Without
+// this check one caller with such requests could have upstreams ejected.
 func (p *pool) refusalJustified(now time.Time, u *upstream, r *run) bool {
 	hasty := !r.deadline.IsZero() && r.deadline.Sub(now) < minTimeLeft
 	return hasty || now.Sub(r.sentAt) > immediateRefusal || p.isFull(now, u, r.tokens)
 }
 
-// isFull reports whether the upstream has as much as it takes, or no room for a request of
-// so many tokens, as far as gateways know.
+// isFull reports whether the upstream is full or has no memory for a request of so many
+// tokens, as far as the gateways know.
 func (p *pool) isFull(now time.Time, u *upstream, tokens int) bool {
 	if u.Slots > 0 && u.inFlight(now) >= fullShare*float64(u.Slots) {
 		return true
@@ -56,16 +58,17 @@
 	return u.memoryTokens(now, p.meanTokens)+float64(tokens) >= fullShare*float64(p.engine.MemoryTokens)
 }
 
-// full reports whether the upstream says that it has nearly all that it takes, or that
-// requests wait there.
+// isFull reports whether the upstream reports that it is nearly full or that requests are
+// queued there.
 func (l *Load) isFull() bool {
 	return l != nil && (l.Waiting > 0 || (l.Slots > 0 && float64(l.Running) >= fullShare*float64(l.Slots)))
 }
 
-// ejected reports whether the upstream is left out for what this gateway saw there.
+// ejected reports whether the upstream is skipped because of failures that this gateway
+// saw there.
 func (u *upstream) ejected(now time.Time) bool { return u.health.LeftOut(now) > 0 }
 
-// judge ejects the upstream if it fails more often than its pool.
+// ejectIfFailing ejects the upstream if it fails more often than its pool.
 func (t *Table) ejectIfFailing(now time.Time, u *upstream) {
 	p := t.pools[u.Pool]
 	if p == nil || u.ejected(now) {
@@ -74,12 +77,12 @@
 	if u.health.Rate() < p.failureRate(u)+ejectRate || !p.mayEject(now) {
 		return
 	}
-	// The rate stays: on its return one more failure ejects it again, unless
-	// the others fail as often by then.
+	// The rate is kept: after the upstream's return one more failure ejects it again,
+	// unless the others fail as often by then.
 	u.health = u.health.WithEjection(now)
 }
 
-// failureRate is the mean rate of the other upstreams of the pool.
+// failureRate is the mean failure rate of the other upstreams of the pool.
 func (p *pool) failureRate(except *upstream) float64 {
 	sum, n := 0.0, 0
 	for _, u := range p.members {
@@ -94,9 +97,9 @@
 	return sum / float64(n)
 }
 
-// mayEject reports whether one more upstream may be ejected. One that rests or leaves is
-// absent by its own word: it neither counts as ejected nor as one that is left. One with a
-// limit counts as what it may get.
+// mayEject reports whether one more upstream may be ejected. One that backs off or leaves
+// counts neither as ejected nor as available. One with a rate limit counts with its
+// relative capacity.
 func (p *pool) mayEject(now time.Time) bool {
 	ejected, present := 0, 0.0
 	capacity := p.capacities()
--- a/internal/core/balance/home.go
+++ b/internal/core/balance/home.go
@@ -6,11 +6,11 @@
 	"github.com/gladegauge/gladegauge/internal/core/rendezvous"
 )
 
-// homeCredit is the part of the shared prompt that its home is believed to
-// keep when this gateway itself has not sent it there.
+// homeKeptShare is the fraction of the shared prompt that its home is assumed to have
+// cached if this gateway itself has not sent the prompt there.
 const homeKeptShare = 0.8
 
-// homeOf returns the upstream that all gateways send the shared part to.
+// homeOf returns the upstream to which all gateways send the deepest shared part.
 func homeOf(candidates []*upstream, p Prompt, keys []uint64) *upstream {
 	shared := len(p.shared())
 	if shared == 0 {
@@ -19,7 +19,7 @@
 	return homeOfKey(candidates, keys[shared-1])
 }
 
-// homeOfKey returns the first upstream in rendezvous order of the key.
+// homeOfKey returns the first upstream in the rendezvous order of the key.
 func homeOfKey(candidates []*upstream, key uint64) *upstream {
 	var home *upstream
 	var best uint64
@@ -31,7 +31,7 @@
 	return home
 }
 
-// unreadTokens is the part of the prompt that the engine would read anew.
+// unreadTokens is the number of prompt tokens that the engine would have to prefill.
 func unreadTokens(now time.Time, u *upstream, p Prompt, keys []uint64, home bool) int {
 	kept := u.cache.kept(now, p, keys)
 	if home {
--- a/internal/core/balance/lend.go
+++ b/internal/core/balance/lend.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// The load that this answers: a whole pool is limited, and some gateways of a large fleet
-// hold few of its upstreams, or none. They would refuse while holders have turns left. So a
-// gateway that has no upstream left for a request asks a holder for a turn.
+// When a whole pool is rate-limited, some gateways of a large fleet hold few or none of
+// its upstreams. They would refuse requests while holders have turns left. A gateway
+// without an upstream for a request therefore asks a holder for a turn.
 
-// borrowMost is the number of upstreams that a request asks a turn of at most.
+// maxBorrowAsks is the maximum number of upstreams for which a request asks for a turn.
 const maxBorrowAsks = 4
 
-// Loan is an upstream that a gateway may ask a holder for a turn of.
+// Loan is an upstream for which a gateway may ask a holder for a turn.
 type Loan struct {
 	Instance
-	// Key and Holders tell who the holders are: the first so many gateways in rendezvous
-	// order for the key.
+	// Key and Holders identify the holders: the first Holders gateways in the rendezvous
+	// order of Key.
 	Key     uint64
 	Holders int
 }
 
-// Borrowable returns the upstreams to ask a turn of, for a request that Pick found none for.
+// Borrowable returns the upstreams for which to ask for a turn, for a request for which
+// Pick found none.
 func (t *Table) Borrowable(now time.Time, r Request) []Loan {
 	p, ok := t.pools[r.Pool]
 	if !ok {
@@ -40,8 +41,8 @@
 	return loans[:min(len(loans), maxBorrowAsks)]
 }
 
-// mayBorrow reports whether nothing but a turn keeps the request from the upstream, and no
-// holder has said lately that there is none.
+// mayBorrow reports whether only the lack of a turn keeps the request from the upstream,
+// and no holder has recently answered that it has none.
 func (t *Table) mayBorrow(now time.Time, p *pool, u *upstream, r Request) bool {
 	if !u.limit.Named || now.Before(u.limit.borrowAgainAt) || slices.Contains(r.Exclude, u.ID) {
 		return false
@@ -49,8 +50,8 @@
 	return u.present(now) && !u.gone(now) && !u.atSlowStartLimit(now) && !u.ejected(now) && !u.peersAvoid(now) && !p.isCold(now, u)
 }
 
-// Lend takes a turn of the upstream for another gateway. If there is none, it returns when
-// there may be one.
+// Lend takes a turn of the upstream on behalf of another gateway. If there is none, it
+// returns the time until there may be one.
 func (t *Table) Lend(now time.Time, incarnation uint64, lowestPriority bool) (time.Duration, bool) {
 	for _, u := range t.upstreams {
 		if u.incarnation != incarnation {
@@ -64,8 +65,8 @@
 	return maxTurnBacklog, false
 }
 
-// NotLent notes that a holder had no turn of the upstream for so long. Another one may have
-// one sooner.
+// NotLent records that a holder will have no turn of the upstream for the given time.
+// Another holder may have one sooner.
 func (t *Table) NotLent(now time.Time, in Instance, wait time.Duration) {
 	if u, ok := t.upstreams[in.ID]; ok && u.incarnation == in.Start() {
 		holders := max(1, min(u.limit.split.Holders, t.gatewayCount()))
@@ -73,8 +74,8 @@
 	}
 }
 
-// PickLent counts the request at the upstream that a holder lent a turn of. It reports false
-// if that is there no more.
+// PickLent counts the request at the upstream for which a holder lent a turn. It returns
+// false if the upstream is no longer available.
 func (t *Table) PickLent(now time.Time, r Request, in Instance) (Choice, bool) {
 	u, ok := t.upstreams[in.ID]
 	if !ok || u.incarnation != in.Start() || !u.present(now) || u.gone(now) {
--- a/internal/core/balance/limited.go
+++ b/internal/core/balance/limited.go
@@ -7,54 +7,55 @@
 	"github.com/gladegauge/gladegauge/internal/core/quota"
 )
 
-// The load that this answers: an upstream in need names the requests a second that it takes
-// from all gateways together. Its holders share them out as turns (package quota); everybody
-// else goes to the other upstreams of the pool.
+// An overloaded upstream names the number of requests per second that it accepts from all
+// gateways together. The holders of the limit share it out as turns (package quota); all
+// other gateways use the other upstreams of the pool.
 
 const (
-	// limitUsed is the part of a limit that is used, and limitViews how many times the
-	// agreed number of holders may send at once: a fifth more, while some have yet to
-	// hear of gateways that came.
+	// limitUtilisation is the fraction of a limit that is used. limitOvercommit is the
+	// multiple of the agreed number of holders that may send at once: a fifth more, while
+	// some gateways have not yet learned of new ones.
 	limitUtilisation = 0.9
 	limitOvercommit  = 1.2
-	// limitHoldersMost bounds the holders of a limit that binds nobody.
+	// maxLimitHolders bounds the number of holders of a limit that does not bind.
 	maxLimitHolders = 1 << 20
-	// leastLimit is the least limit, in requests a second, that turns are given for: of an
-	// upstream that takes next to nothing somebody must hear when it takes more. It stays
-	// within the slack of the bounds.
+	// minLimit is the lowest limit, in requests per second, for which turns are given: if
+	// an upstream accepts next to nothing, some gateway must still notice when it accepts
+	// more. It stays within the slack of the bounds.
 	minLimit = 0.25
-	// firstTurns is the number of turns that a holder has at first of a limit that it is
-	// told of by others. One that is told by an answer has had its turn with that.
+	// initialTurns is the number of turns that a holder gets at first of a limit that
+	// other gateways reported. A holder that learned it from an answer has already used
+	// its turn.
 	initialTurns = 1
-	// leastTurnWait is the part of the time between two turns for which one waits for
-	// requests that others go before, and openTurn is how often a turn waits for nobody:
-	// the least urgent must get some.
+	// lowPriorityTurnWait is the fraction of the interval between two turns for which a
+	// turn is reserved for more urgent requests. Every lowPriorityTurnInterval-th turn is
+	// not reserved, so that the least urgent requests get some.
 	lowPriorityTurnWait     = 0.5
 	lowPriorityTurnInterval = 8
-	// heldFor is how long a gateway goes by its last look at whether it is a holder, which
-	// takes a walk over the fleet.
+	// holderTTL is how long the result of the holder check is cached, since the check
+	// walks the whole fleet.
 	holderTTL = 500 * time.Millisecond
 )
 
-// LimitBounds are what an upstream bears beyond the limit that it names.
+// LimitBounds is the tolerance of an upstream beyond the limit that it names.
 type LimitBounds struct {
-	// Window is the time over which it counts what it gets.
+	// Window is the time over which it counts requests.
 	Window time.Duration
-	// In a window it bears Overrun times its limit, and Slack requests on top.
+	// In a window it tolerates Overrun times its limit plus Slack requests.
 	Overrun float64
 	Slack   float64
 }
 
-// defaultLimitBounds are of upstreams that bear little more than they name.
+// defaultLimitBounds are for upstreams that tolerate little more than they name.
 var defaultLimitBounds = LimitBounds{Window: time.Second, Overrun: 1, Slack: 1}
 
-// SetLimitBounds takes the bounds; gateways tells how many gateways the holders are drawn
-// from.
+// SetLimitBounds sets the bounds; gateways returns the number of gateways from which the
+// holders are drawn.
 func (t *Table) SetLimitBounds(b LimitBounds, gateways func() int) {
 	t.limitBounds, t.gatewayCount = b, gateways
 }
 
-// split is how a limit is shared out.
+// split computes how a limit is shared out.
 func (b LimitBounds) split(perSecond float64) quota.Split {
 	policy := quota.Policy{Used: limitUtilisation, Views: limitOvercommit, Holders: maxLimitHolders}
 	return policy.Divide(quota.Bound{
@@ -64,24 +65,26 @@
 	})
 }
 
-// limited is the limit of an upstream as this gateway keeps it. The zero value is none.
+// limit is the rate limit of an upstream as this gateway keeps it. The zero value means
+// none.
 type limit struct {
 	notice.Limit
 	split quota.Split
-	// share is this gateway's part if it is a holder, and bucket its turns.
+	// share is this gateway's part of the limit if it is a holder, and bucket holds its
+	// turns.
 	share  quota.Share
 	bucket quota.Bucket
-	// turns is the number of turns that were taken.
+	// turns is the number of turns taken.
 	turns int
-	// held is true if this gateway was a holder at heldAt.
+	// holder is whether this gateway was a holder at holderCheckedAt.
 	holder          bool
 	holderCheckedAt time.Time
-	// askAgainAt is when another holder may be asked for a turn.
+	// borrowAgainAt is when another holder may be asked for a turn.
 	borrowAgainAt time.Time
 }
 
-// relimit brings the limit that the upstream has now into force, and reports whether it is
-// another one. Of a new one a holder has so many turns at first.
+// applyLimit puts the upstream's current limit into force and reports whether it changed.
+// For a new limit a holder gets the given number of turns at first.
 func (t *Table) applyLimit(now time.Time, u *upstream, turns float64) bool {
 	l := u.notices.Limit(now)
 	if l == u.limit.Limit {
@@ -94,7 +97,7 @@
 	split := t.limitBounds.split(l.PerSecond)
 	if u.limit.Named {
 		u.limit.Limit, u.limit.split = l, split
-		u.limit.holderCheckedAt = time.Time{} // There may be more holders, or fewer.
+		u.limit.holderCheckedAt = time.Time{} // The number of holders may have changed.
 		return true
 	}
 	share := split.Share(t.gatewayCount())
@@ -102,7 +105,7 @@
 	return true
 }
 
-// reshare works out this gateway's part anew: the limit or the fleet may have changed.
+// updateShare recomputes this gateway's part, as the limit or the fleet may have changed.
 func (t *Table) updateShare(now time.Time, l *limit) {
 	if share := l.split.Share(t.gatewayCount()); share != l.share {
 		l.bucket, l.share = l.bucket.Under(now, l.share, share), share
@@ -118,8 +121,8 @@
 	return l.holder
 }
 
-// hasTurn reports whether the upstream takes a request of this gateway now, as far as its
-// limit goes. The least urgent ones leave a turn to others for a while.
+// hasTurn reports whether the upstream's rate limit admits a request of this gateway now.
+// Requests of the lowest urgency leave a turn to more urgent ones for a while.
 func (t *Table) hasTurn(now time.Time, u *upstream, lowestPriority bool) bool {
 	if u.notices.SaidLimited() {
 		t.applyLimit(now, u, initialTurns)
@@ -139,7 +142,7 @@
 	return !now.Before(next)
 }
 
-// takeTurn counts a request at an upstream that has a limit, and reports whether it has.
+// takeTurn takes a turn of an upstream with a rate limit, and reports whether it has one.
 func (t *Table) takeTurn(now time.Time, u *upstream) bool {
 	l := &u.limit
 	if !l.Named {
@@ -150,8 +153,8 @@
 	return true
 }
 
-// turnLeft is the time until the next turn: of this gateway if it is a holder, of anybody
-// if not.
+// untilNextTurn is the time until the next turn: of this gateway if it is a holder,
+// otherwise of any gateway.
 func (t *Table) untilNextTurn(now time.Time, u *upstream) time.Duration {
 	l := &u.limit
 	if l.split.Rate <= 0 {
@@ -163,7 +166,7 @@
 	return time.Duration(float64(time.Second) / l.split.Rate)
 }
 
-// LimitedUpstreams is the number of upstreams that have a limit.
+// LimitedUpstreams returns the number of upstreams with a rate limit.
 func (t *Table) LimitedUpstreams() int {
 	n := 0
 	for _, u := range t.upstreams {
--- a/internal/core/balance/load.go
+++ b/internal/core/balance/load.go
@@ -2,20 +2,22 @@
 
 import "time"
 
-// Load is what an upstream says of itself in an answer.
+// Load is the load that an upstream reports with an answer.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
-	// Percent is how long work takes there now, of what is usual; 0 if it does not say.
+	// Percent is the current duration of its work relative to the usual one; 0 if not
+	// reported.
 	Percent int
 }
 
-// staleAfter is the age at which a load says nothing any more: many requests
-// come and go in that time.
+// loadTTL is the age at which a load report is ignored, since many requests come and go
+// in that time.
 const loadTTL = 2 * time.Second
 
-// load is the latest word of an upstream, and what this gateway had sent then.
+// load is the latest report of an upstream, and the number of requests that this gateway
+// had there at the time.
 type load struct {
 	Load
 	at         time.Time
@@ -23,7 +25,7 @@
 	known      bool
 }
 
-// saysFull reports whether the upstream said lately that it has nearly all that it takes.
+// reportedFull reports whether the upstream recently reported that it is nearly full.
 func (u *upstream) reportedFull(now time.Time) bool {
 	return u.load.known && now.Sub(u.load.at) < loadTTL && u.load.isFull()
 }
@@ -31,32 +33,32 @@
 // run is a request that this gateway sent and that has not ended.
 type run struct {
 	route string
-	// organisation is the hash of the name of who sends it.
+	// organisation is the hash of the name of the organisation that sent it.
 	organisation uint64
-	// unread is the part of the prompt that the engine has to read, in tokens;
-	// 0 once its first event came.
+	// unread is the number of prompt tokens that the engine still has to prefill; 0 after
+	// the first event.
 	unread int
-	// tokens is the memory that it fills at an engine: its prompt and its
-	// expected answer.
+	// tokens is the memory that it takes at an engine: its prompt and its expected
+	// answer.
 	tokens int
-	// pause is the longest pause that its caller bears; 0 for any.
+	// targetGap is the longest gap between events that the caller tolerates; 0 for any.
 	targetGap time.Duration
-	// least says that no request for the pool is less urgent.
+	// lowestPriority marks a request of the lowest urgency in its pool.
 	lowestPriority bool
 	sentAt         time.Time
-	// deadline is when its caller leaves; zero for never.
+	// deadline is when the caller gives up; zero for never.
 	deadline time.Time
-	// begun is true once its first event came, at begunAt.
+	// started is true after the first event, which arrived at startedAt.
 	started   bool
 	startedAt time.Time
-	// hangs is true once it was counted as one that hangs.
+	// hung is true once it was counted as a hanging request.
 	hung bool
-	// expected is the time to its first event, in milliseconds, at an engine that
-	// is as fast as its pool.
+	// expected is the expected time to the first event at an engine of the pool's usual
+	// speed, in milliseconds.
 	expected float64
 }
 
-// others estimates how many requests of other gateways are at the upstream.
+// others estimates the number of requests of other gateways at the upstream.
 func (u *upstream) others(now time.Time) float64 {
 	if u.hasPeerLoad(now) {
 		return float64(u.peerLoad.Requests)
@@ -71,14 +73,13 @@
 	return trust * float64(max(0, u.load.Running+u.load.Waiting-u.load.ownRunning))
 }
 
-// inFlight estimates how many requests are at the upstream.
+// inFlight estimates the number of requests at the upstream.
 func (u *upstream) inFlight(now time.Time) float64 {
 	return float64(len(u.running)) + u.others(now)
 }
 
-// unread is the prompt tokens that wait to be read at the engine, as far as they
-// are known. It has read on since other gateways told of theirs, at the given speed in
-// tokens a millisecond.
+// unread estimates the prompt tokens that wait for prefill at the engine. The engine has
+// read on at perMs tokens per millisecond since other gateways reported theirs.
 func (u *upstream) unread(now time.Time, perMs float64) int {
 	tokens := 0
 	if u.hasPeerLoad(now) {
@@ -90,8 +91,8 @@
 	return tokens
 }
 
-// memoryTokens estimates the memory that the requests at the engine fill, in
-// tokens. Those of other gateways are taken to have the mean.
+// memoryTokens estimates the memory that the requests at the engine take, in tokens.
+// Requests of other gateways whose size is unknown are assumed to have the mean size.
 func (u *upstream) memoryTokens(now time.Time, mean float64) float64 {
 	tokens := mean * u.others(now)
 	if u.hasPeerLoad(now) {
@@ -103,7 +104,7 @@
 	return tokens
 }
 
-// tight counts the streams that bear only pauses up to the limit.
+// tight counts the streams with a gap target up to the limit.
 func (u *upstream) tight(now time.Time, limit time.Duration) int {
 	n := u.ownTight(limit)
 	if u.hasPeerLoad(now) {
@@ -112,7 +113,7 @@
 	return n
 }
 
-// ownTight counts those of this gateway.
+// ownTight counts such streams of this gateway.
 func (u *upstream) ownTight(limit time.Duration) int {
 	n := 0
 	for _, r := range u.running {
@@ -123,8 +124,8 @@
 	return n
 }
 
-// pendingLeast is the longest time that one of the least urgent requests of this gateway
-// has waited for its first event until now.
+// longestPending is the longest time that a request of the lowest urgency of this gateway
+// has been waiting for its first event.
 func (p *pool) longestPending(now time.Time) time.Duration {
 	longest := time.Duration(0)
 	for _, u := range p.members {
@@ -137,7 +138,7 @@
 	return longest
 }
 
-// Reported takes the load that rode on an answer.
+// Reported records the load that came with an answer.
 func (t *Table) Reported(now time.Time, id string, l Load) {
 	u, ok := t.upstreams[id]
 	if !ok {
--- a/internal/core/balance/notices.go
+++ b/internal/core/balance/notices.go
@@ -6,33 +6,34 @@
 	"github.com/gladegauge/gladegauge/internal/core/notice"
 )
 
-// The load that this answers: upstreams that leave, or refuse and ask for rest, while the
-// platform's list says nothing of it. An upstream that refuses has nothing in flight and
-// looks idle, and draws its pool's requests.
+// Upstreams leave, or refuse requests and ask for a backoff, before the platform's list
+// says so. An upstream that refuses has nothing in flight, looks idle and attracts its
+// pool's requests.
 //
-// What an upstream says of itself goes before the list and before every judgement of ours:
-// while it rests it is absent, and its pool is that much smaller.
+// What an upstream reports about itself takes precedence over the list and over this
+// gateway's own health checks: while it backs off it counts as absent, and its pool is
+// smaller by it.
 
-// Said is what became of a notice.
+// Said is the result of a notice.
 type Said struct {
-	// Of is the start whose word it is, as far as it is known; the zero value if the answer
-	// was of a start that is not listed at that address.
+	// Of is the incarnation that sent the notice, as far as known; the zero value if the
+	// answer came from an incarnation that is not listed at that address.
 	Of Instance
-	// Listed is true if the start is on the list now.
+	// Listed is true if the incarnation is currently listed.
 	Listed bool
 	State  notice.State
-	// Leaves is true if the start had not said before that it leaves, Rests if its rest
-	// ends later now.
+	// Leaves is true if the incarnation announces for the first time that it leaves;
+	// Rests is true if its backoff now ends later.
 	Leaves bool
 	Rests  bool
-	// Limits is true if it names another limit than before, or none any more.
+	// Limits is true if it changed or withdrew its rate limit.
 	Limits bool
-	// Unreadable is true if it says what cannot be read, and said something else before.
+	// Unreadable is true if the notice contains a value that cannot be parsed and that
+	// differs from the previous one.
 	Unreadable bool
 }
 
-// Notice takes what an answer to a request that was sent to the upstream says of the start
-// that gave it.
+// Notice processes a notice in the answer to a request that was sent to the upstream.
 func (t *Table) Notice(now time.Time, to Instance, n notice.Notice) Said {
 	of, ok := t.responder(to, n)
 	if !ok {
@@ -64,9 +65,9 @@
 	}
 }
 
-// speaker returns the start that an answer is of. An upstream refuses what is meant for
-// another one, so that any other answer is of the one that was addressed. Of a refusal it
-// is the one that it names, if that is listed at the address.
+// responder returns the incarnation that an answer came from. An upstream refuses
+// requests meant for another one, so any other answer is from the addressed one. A
+// refusal is attributed to the upstream that it names, if that is listed at the address.
 func (t *Table) responder(to Instance, n notice.Notice) (Instance, bool) {
 	if n.Of == "" || n.Of == to.ID {
 		return to, !n.Elsewhere || n.Of == to.ID
@@ -78,8 +79,8 @@
 	return u.Instance, true
 }
 
-// Closed returns the starts that have said something of themselves, or whose limit others
-// tell of, for a last look before a request goes out.
+// Closed returns the incarnations that sent notices or whose rate limit other gateways
+// reported, for a final check before a request is sent.
 func (t *Table) Closed(now time.Time) notice.Closed {
 	closed := make(notice.Closed)
 	for _, u := range t.upstreams {
@@ -90,22 +91,23 @@
 	return closed
 }
 
-// SaysLeaving reports whether the upstream has said in an answer that it leaves.
+// SaysLeaving reports whether the upstream has announced in an answer that it leaves.
 func (t *Table) SaysLeaving(id string) bool {
 	u, ok := t.upstreams[id]
 	return ok && u.notices.Leaving()
 }
 
-// open reports whether the upstream may get anything new, its rests aside.
+// open reports whether the upstream may get new requests, ignoring requested backoffs.
 func (u *upstream) open() bool { return u.Instance.open() && !u.notices.Leaving() }
 
-// present reports whether the upstream is there for new requests now.
+// present reports whether the upstream accepts new requests now.
 func (u *upstream) present(now time.Time) bool {
 	return u.open() && (!u.notices.Rested() || !u.notices.Resting(now))
 }
 
-// spared reports whether others go first, as a rest of the upstream ended a moment ago.
-// The first request may be refused again, so that it is one of the least urgent.
+// inSlowStart reports whether other upstreams are preferred because a backoff of this one
+// has just ended. The first request may be refused again, so it must be one of the least
+// urgent.
 func (t *Table) inSlowStart(now time.Time, u *upstream, r Request) bool {
 	if !u.notices.Rested() {
 		return false
@@ -113,14 +115,14 @@
 	return u.notices.Spared(now, t.gateways, u.unanswered()) || (!r.Least && u.notices.Untried(now))
 }
 
-// flooded reports whether the upstream is back from its rest and has all that it can take
-// for now.
+// atSlowStartLimit reports whether the upstream is back from its backoff and has as many
+// requests as it may get for now.
 func (u *upstream) atSlowStartLimit(now time.Time) bool {
 	return u.notices.Rested() && u.notices.Flooded(now, u.unanswered())
 }
 
-// unanswered is the number of this gateway's requests there without a first word, of
-// those that were sent after the last rest.
+// unanswered is the number of this gateway's requests there that were sent after the last
+// backoff and have got no answer yet.
 func (u *upstream) unanswered() int {
 	n := 0
 	for _, r := range u.running {
--- a/internal/core/balance/outcome.go
+++ b/internal/core/balance/outcome.go
@@ -2,38 +2,39 @@
 
 import "time"
 
-// Outcome is what became of a request at an upstream.
+// Outcome is the result of a request at an upstream.
 type Outcome int
 
 // Outcomes of a request.
 const (
-	// Completed means that the whole answer came.
+	// Completed means that the whole answer arrived.
 	Completed Outcome = iota + 1
 	// Faulty means that the upstream answered with an error of its own.
 	Faulty
-	// Refused means that the upstream did not run the request, as it had no room.
+	// Refused means that the upstream did not run the request for lack of capacity.
 	Refused
-	// Throttled means that the upstream did not run the request, as it had too many: of
-	// everybody, or of this organisation.
+	// Throttled means that the upstream did not run the request because of too many
+	// requests, either in total or from this organisation.
 	Throttled
-	// Declined means that it did not run the request for a reason of the request's own.
+	// Declined means that the upstream did not run the request for a reason that lies in
+	// the request.
 	Declined
-	// Replaced means that another start answers at the upstream's address: this
-	// one is gone, though it is still on the list.
+	// Replaced means that another incarnation answers at the upstream's address: this one
+	// is gone, though it is still listed.
 	Replaced
-	// Unreachable means that no connection could be made in time.
+	// Unreachable means that no connection could be established in time.
 	Unreachable
-	// Dead means that nothing listens at its address any more: this start has
-	// ended, though it is still on the list.
+	// Dead means that nothing listens at its address any more: this incarnation has
+	// ended, though it is still listed.
 	Dead
-	// Broken means that no answer came, or only a part of one.
+	// Broken means that no answer arrived, or only a part of one.
 	Broken
-	// Abandoned means that the gateway gave the request up; it says nothing
-	// about the upstream.
+	// Abandoned means that the gateway cancelled the request; it says nothing about the
+	// upstream.
 	Abandoned
 )
 
-// String names the outcome in logs.
+// String returns the name of the outcome used in logs.
 func (o Outcome) String() string {
 	names := [...]string{"", "completed", "faulty", "refused", "throttled", "declined", "replaced", "unreachable", "dead", "broken", "abandoned"}
 	if o < Completed || int(o) >= len(names) {
@@ -42,7 +43,7 @@
 	return names[o]
 }
 
-// Began notes that the first event of a stream, or the head of an answer, came.
+// Began records that the first event of a stream or the head of an answer arrived.
 func (t *Table) Began(now time.Time, c Choice) {
 	u, ok := t.upstreams[c.ID]
 	if !ok {
@@ -66,8 +67,7 @@
 	}
 }
 
-// Heard notes that anything came from the upstream, and the gaps between the
-// events.
+// Heard records that data arrived from the upstream, and the gaps between the events.
 func (t *Table) Heard(now time.Time, id string, g Gaps) {
 	if u, ok := t.upstreams[id]; ok {
 		u.heard(now)
@@ -80,14 +80,14 @@
 	}
 }
 
-// heard notes that the upstream is not silent.
+// heard resets the silence of the upstream.
 func (u *upstream) heard(now time.Time) {
 	u.awaitingSince = time.Time{}
 	u.lastHeardAt = now
 }
 
-// SilentFor returns how long the upstream of the choice has said nothing to
-// anybody, counted from the choice at the earliest.
+// SilentFor returns how long the chosen upstream has sent nothing for any request,
+// counted from the choice at the earliest.
 func (t *Table) SilentFor(now time.Time, c Choice) time.Duration {
 	since := c.pickedAt
 	if u, ok := t.upstreams[c.ID]; ok && u.lastHeardAt.After(since) {
@@ -96,17 +96,17 @@
 	return now.Sub(since)
 }
 
-// Answer is what the gateway saw of an answer.
+// Answer is what the gateway observed of an answer.
 type Answer struct {
-	// Tokens is its size.
+	// Tokens is the size of the answer.
 	Tokens int
 	// LongestGap is the longest time between two of its events.
 	LongestGap time.Duration
-	// Load is what the upstream said of its load with it; nil if it did not say.
+	// Load is the load that the upstream reported with it; nil if none.
 	Load *Load
 }
 
-// Ended notes what became of the request.
+// Ended records the outcome of the request.
 func (t *Table) Ended(now time.Time, c Choice, o Outcome, a Answer) {
 	u, ok := t.upstreams[c.ID]
 	if !ok {
@@ -127,7 +127,7 @@
 	case Completed:
 		u.heard(now)
 		if !r.started {
-			r.startedAt = now // It was over at once.
+			r.startedAt = now // The whole answer arrived at once.
 		}
 		u.health = u.health.WithAnswer(r.startedAt)
 		u.latency.learn(now, now.Sub(r.sentAt))
@@ -154,7 +154,7 @@
 		u.goneUntil = now.Add(goneTTL)
 	case Unreachable:
 		u.health = u.health.WithFailure(now)
-		// It may come back cold, and says so only with its next heartbeat.
+		// It may come back cold, and reports that only with its next heartbeat.
 		p := t.pools[u.Pool]
 		u.warmup = u.warmup.With(now.Add(p.cold.For))
 		if p.mayEject(now) {
--- a/internal/core/balance/outputs.go
+++ b/internal/core/balance/outputs.go
@@ -1,10 +1,9 @@
 package balance
 
-// outputs are the mean numbers of tokens of the answers, by route.
+// outputs holds the mean number of tokens of an answer, by route.
 type outputs map[string]float64
 
-// expected is the number of tokens that an answer to the request is likely to
-// have.
+// expected is the expected number of tokens of an answer to the request.
 func (o outputs) expected(r Request) float64 {
 	if mean, ok := o[r.Route]; ok && r.Prompt.OutputHint == 0 {
 		return mean
@@ -12,7 +11,7 @@
 	return r.Prompt.expectedOutput()
 }
 
-// learn takes the tokens of an answer of the route.
+// learn records the number of tokens of an answer of the route.
 func (o outputs) learn(route string, tokens int) {
 	mean, ok := o[route]
 	if !ok {
@@ -21,7 +20,7 @@
 	o[route] = mean + ewmaWeight*(float64(tokens)-mean)
 }
 
-// learnOutput takes the tokens of an answer.
+// learnOutput records the number of tokens of an answer.
 func (p *pool) learnOutput(r *run, tokens int) {
 	if r.tokens > 0 {
 		p.outputs.learn(r.route, tokens)
--- a/internal/core/balance/overdue.go
+++ b/internal/core/balance/overdue.go
@@ -3,17 +3,16 @@
 import "time"
 
 const (
-	// overdueFrom is how much longer than twice the expected time a prompt may wait
-	// without a doubt in its engine, in milliseconds: many engine steps.
+	// overdueSlackMs is the time beyond twice the expected time after which a prompt is
+	// overdue, in milliseconds. It covers many engine steps.
 	overdueSlackMs = 100.0
-	// overdueMost bounds what one prompt's wait may say, in milliseconds. Callers
-	// give a stream up after about as long.
+	// maxOverdueMs bounds the contribution of one prompt, in milliseconds. Callers cancel
+	// a stream after about as long.
 	maxOverdueMs = 2000.0
 )
 
-// overdue returns the number of this gateway's prompts at the engine that have
-// waited for longer than can be explained, and for how much longer, in
-// milliseconds, summed up.
+// overdue returns the number of this gateway's prompts at the engine that are overdue,
+// and the sum of the times by which they are, in milliseconds.
 func (u *upstream) overdue(now time.Time) (n int, sum float64) {
 	for _, r := range u.running {
 		if r.started {
@@ -27,13 +26,13 @@
 	return n, sum
 }
 
-// overdue is for how much longer than can be explained the request has waited, in
-// milliseconds; below 0 if it has not.
+// overdue is the time by which the request is overdue, in milliseconds; negative if it is
+// not.
 func (r *run) overdue(now time.Time) float64 {
 	return milliseconds(now.Sub(r.sentAt)) - 2*r.expected - overdueSlackMs
 }
 
-// meanOverdue is the mean over such prompts of all gateways, in milliseconds.
+// meanOverdue is the mean over the overdue prompts of all gateways, in milliseconds.
 func (u *upstream) meanOverdue(now time.Time) float64 {
 	n, sum := u.overdue(now)
 	if u.hasPeerLoad(now) {
--- a/internal/core/balance/parts.go
+++ b/internal/core/balance/parts.go
@@ -6,7 +6,7 @@
 	"github.com/gladegauge/gladegauge/internal/core/occupancy"
 )
 
-// tell notes parts that are kept at the upstream and that others may not know of.
+// announceParts queues parts cached at the upstream for announcement to other gateways.
 func (t *Table) announceParts(u *upstream, parts []occupancy.Part) {
 	for _, p := range parts {
 		p.Upstream = u.incarnation
@@ -17,14 +17,15 @@
 	}
 }
 
-// News returns the parts that other gateways may not know of, once.
+// News returns the parts that have not been announced to other gateways yet, and clears
+// them.
 func (t *Table) News() []occupancy.Part {
 	newParts := t.newParts
 	t.newParts = nil
 	return newParts
 }
 
-// OthersRead takes parts that other gateways told of.
+// OthersRead applies the parts that other gateways announced.
 func (t *Table) OthersRead(now time.Time, parts []occupancy.Part) {
 	if len(parts) == 0 {
 		return
@@ -41,12 +42,12 @@
 	}
 }
 
-// forgetShare divides the upstreams whose pictures are looked through at a time.
+// expireBatches is the number of batches in which the cache models are expired.
 const expireBatches = 8
 
-// ForgetParts drops parts that no engine is believed to keep any more, of some upstreams
-// at each call. A gateway would otherwise hold, of each engine, all that its memory can
-// ever have kept.
+// ForgetParts removes parts that are no longer assumed to be cached, for one batch of
+// upstreams per call. Otherwise a gateway would hold, for each engine, all parts that its
+// memory could ever have held.
 func (t *Table) ForgetParts(now time.Time) {
 	t.nextExpireBatch = (t.nextExpireBatch + 1) % expireBatches
 	for _, u := range t.upstreams {
--- a/internal/core/balance/peers.go
+++ b/internal/core/balance/peers.go
@@ -8,47 +8,47 @@
 	"github.com/gladegauge/gladegauge/internal/core/occupancy"
 )
 
-// told reports whether other gateways have told what they have at the upstream,
-// lately enough to count.
+// hasPeerLoad reports whether other gateways have reported their load at the upstream
+// recently enough to count.
 func (u *upstream) hasPeerLoad(now time.Time) bool { return now.Before(u.peerLoadUntil) }
 
-// Picture is what all other gateways have at the upstreams.
+// Picture is the load of all other gateways at the upstreams.
 type Picture struct {
 	Loads occupancy.Loads
-	// Age is how old the words are on arrival, in the mean.
+	// Age is the mean age of the reports on arrival.
 	Age time.Duration
-	// Keep is how long they count.
+	// Keep is how long the reports are valid.
 	Keep time.Duration
-	// Gateways is the number of gateways, with this one.
+	// Gateways is the number of gateways, including this one.
 	Gateways int
 }
 
-// Doubts are upstreams that are doubted from now on.
+// Doubts lists the upstreams whose state changed with an update from other gateways.
 type Doubts struct {
-	// Outvoted are those that votes put last.
+	// Outvoted lists those that votes newly put last.
 	Outvoted []Outvoted
-	// Hanging are those at which a prompt of this gateway hangs.
+	// Hanging lists those at which a prompt of this gateway newly counts as hanging.
 	Hanging []Hanging
-	// Limited are those whose limit is another one by the word of others. While words
-	// differ, each is told once in toldEvery.
+	// Limited lists those whose rate limit changed by reports of other gateways. While
+	// the reports differ, each upstream is listed at most once per limitReportInterval.
 	Limited []Limited
-	// Spoken is true if a limit of any upstream is spoken of, or was until now: what others
-	// told of it counts for a moment only, and is to be published anew.
+	// Spoken is true if a rate limit of any upstream is or was reported: such reports are
+	// valid only for a moment, so the state must be published again.
 	Spoken bool
 }
 
-// toldEvery is how often a limit is told that changes from one word to the next.
+// limitReportInterval is the minimum time between two reports of a fluctuating limit.
 const limitReportInterval = time.Second
 
-// Limited is an upstream whose limit changed, and the votes on it.
+// Limited is an upstream whose rate limit changed, and the votes on it.
 type Limited struct {
 	ID string
 	notice.Limit
 	Votes notice.LimitVotes
 }
 
-// OthersHave takes the picture. An upstream that is not in it has nothing of theirs. It
-// returns what follows for upstreams from now on.
+// OthersHave replaces the load of other gateways. An upstream that is not in the picture
+// has none. It returns the resulting state changes.
 func (t *Table) OthersHave(now time.Time, p Picture) Doubts {
 	var d Doubts
 	t.peersAt, t.peersAge, t.gateways = now, p.Age, max(p.Gateways, 1)
@@ -68,7 +68,7 @@
 	return d
 }
 
-// countLimits takes the votes of all gateways on the upstream's limit.
+// applyLimitVotes applies the votes of all gateways on the upstream's rate limit.
 func (t *Table) applyLimitVotes(now time.Time, u *upstream, d *Doubts) {
 	if !u.notices.SaidLimited() && u.peerLoad.Limited == 0 {
 		return
@@ -86,7 +86,7 @@
 	}
 }
 
-// Loads returns what this gateway has at the upstreams.
+// Loads returns the load of this gateway at the upstreams.
 func (t *Table) Loads(now time.Time) occupancy.Loads {
 	loads := make(occupancy.Loads)
 	for _, u := range t.upstreams {
--- a/internal/core/balance/pick.go
+++ b/internal/core/balance/pick.go
@@ -8,88 +8,87 @@
 	"github.com/gladegauge/gladegauge/internal/core/rendezvous"
 )
 
-// Request is what a pick needs to know of a request.
+// Request describes a request to Pick.
 type Request struct {
 	Route string
 	Pool  string
-	// Pause is the longest pause between events that its caller bears; 0 for
-	// any.
+	// Pause is the longest gap between events that the caller tolerates; 0 for any.
 	Pause time.Duration
 	// Tier is the rank of its route; 0 is the highest.
 	Tier int
-	// Target is the time to the first event that is still in time; 0 for none.
+	// Target is the target for the time to the first event; 0 for none.
 	Target time.Duration
-	// Organisation is the hash of the name of who sends it.
+	// Organisation is the hash of the name of the organisation that sent it.
 	Organisation uint64
-	// Deadline is when its caller leaves; zero for never.
+	// Deadline is when the caller gives up; zero for never.
 	Deadline time.Time
 	Prompt   Prompt
-	// Protect asks for a copy of the run's memory on another engine: the request
-	// may not be repeated if its engine breaks.
+	// Protect requests a copy of its KV cache on another engine, because the request may
+	// not be repeated if its engine fails.
 	Protect bool
-	// Exclude holds the upstreams that were tried already.
+	// Exclude lists the IDs of upstreams that were already tried.
 	Exclude []string
-	// Least says that no request for the pool is less urgent: it may be turned away
-	// when the pool is too busy.
+	// Least marks a request of the lowest urgency in its pool, which may be shed when the
+	// pool is overloaded.
 	Least bool
-	// Alone asks for the upstream where the request harms fewest if that one ends: it
-	// is a suspect of having ended others, and nothing is copied for it.
+	// Alone requests the upstream where a crash affects the fewest other requests: this
+	// request is suspected of having crashed upstreams. Nothing is copied for it.
 	Alone bool
 	// Hash breaks ties.
 	Hash uint64
 }
 
-// Choice is the upstream that was picked, and why.
+// Choice is the upstream that was picked, and the data behind the decision.
 type Choice struct {
 	Instance
 	// Cost is the expected cost in milliseconds.
 	Cost float64
-	// Unread is the part of the prompt that the engine is expected to read.
+	// Unread is the number of prompt tokens that the engine is expected to prefill.
 	Unread int
-	// FetchFrom is the address of the engine that it should copy a part of the
-	// prompt from; empty for none.
+	// FetchFrom is the address of the engine from which it should copy a part of the
+	// prompt; empty for none.
 	FetchFrom string
-	// Backup is the engine that gets a copy of the run's memory; the zero value
-	// is none.
+	// Backup is the engine that receives a copy of the request's KV cache; the zero value
+	// means none.
 	Backup Backup
-	// InFlight is the estimate of the requests there.
+	// InFlight is the estimated number of requests at the upstream.
 	InFlight float64
-	// LoadAge is the age of the upstream's own word; below 0 if there is none.
+	// LoadAge is the age of the upstream's own load report; negative if there is none.
 	LoadAge time.Duration
 	// Candidates is the number of upstreams that were compared.
 	Candidates int
-	// Wait is how long it is expected to wait there before its prompt is read, in
-	// milliseconds.
+	// Wait is the expected wait there before the prompt is read, in milliseconds.
 	Wait float64
-	// ComeBack is above 0 if the pool is too busy for the request: it was not counted,
-	// and its caller may come back after that time.
+	// ComeBack is positive if the request was shed because the pool is overloaded: it was
+	// not counted, and the caller may retry after that time.
 	ComeBack time.Duration
-	// Standing is true if a queue stands at the pool then.
+	// Standing is true if the pool had a standing queue at that time.
 	Standing bool
-	// Cold is true if the upstream is cold: this gateway is one of its holders.
+	// Cold is true if the upstream is cold; this gateway is then one of its holders.
 	Cold bool
-	// Turn is true if the upstream has a limit, and this is one of its turns.
+	// Turn is true if the upstream has a rate limit and the request uses one of its
+	// turns.
 	Turn bool
-	// Lent is true if another gateway lent the turn.
+	// Lent is true if the turn was lent by another gateway.
 	Lent bool
-	// Trial is true if the upstream has yet to show that it answers again.
+	// Trial is true if the upstream is on trial after failures.
 	Trial bool
-	// ToldAge is the age of the other gateways' word on the upstream; below 0 if
-	// there is none.
+	// ToldAge is the age of the load that other gateways reported for the upstream;
+	// negative if there is none.
 	ToldAge time.Duration
 
-	// run is the number of the request in the table.
+	// run identifies the request in the table.
 	run uint64
-	// keys are those of the prompt's parts, for the picture of the KV cache.
+	// keys are the cache keys of the prompt's parts.
 	keys   []uint64
 	prompt Prompt
-	// pickedAt is when the choice was made.
+	// pickedAt is the time of the choice.
 	pickedAt time.Time
 }
 
-// Pick chooses an upstream and counts the request there until Ended. It
-// reports false if the pool has no upstream left to try, or is too busy: the choice
-// tells when to come back then.
+// Pick chooses an upstream and counts the request there until Ended. It returns false if
+// the pool has no upstream left to try or the request is shed; in the latter case the
+// choice holds the time after which to retry.
 func (t *Table) Pick(now time.Time, r Request) (Choice, bool) {
 	p, ok := t.pools[r.Pool]
 	if !ok {
@@ -134,8 +133,8 @@
 	return best, true
 }
 
-// turnAway returns the time after which the request is to come back; 0 if it may go to
-// the choice now. One that was sent somewhere already goes on.
+// shedDelay returns the time after which the request should be retried; 0 if it is
+// admitted. A request that was already sent to an upstream is always admitted.
 func (p *pool) shedDelay(now time.Time, u *upstream, r Request, c Choice) time.Duration {
 	if !r.Least || r.Prompt.Tokens == 0 || len(r.Exclude) > 0 {
 		return 0
@@ -155,8 +154,8 @@
 	return p.queue.TurnAway(now, ask)
 }
 
-// answerMs is the time that the engine is expected to need for a whole answer once it
-// begins to read the prompt, at the present pace of its streams, in milliseconds.
+// answerMs is the expected time from the start of prefill to the end of the answer, at
+// the current mean gap of the engine's streams, in milliseconds.
 func (p *pool) answerMs(now time.Time, u *upstream, r Request, c Choice) float64 {
 	reading := float64(c.Unread) / p.speed.tokensPerMs()
 	gap, ok := u.fleetMeanGap(now)
@@ -172,12 +171,12 @@
 	return ok && len(t.usable(now, p, r)) > 0
 }
 
-// tie decides between upstreams of the same cost.
+// tie breaks ties between upstreams of equal cost.
 func tie(r Request, u *upstream) uint64 { return rendezvous.Mix(r.Hash, u.hash) }
 
-// usable returns the upstreams that may be tried, in order of rank. Ejected
-// ones, those that others found gone or failing, and those that should get little so soon
-// after a rest or a failure are left out while there are others.
+// usable returns the upstreams that may be tried, in pool order. Upstreams that are
+// ejected, that other gateways found gone or failing, or that are in slow start or on
+// trial, are returned only if there are no others.
 func (t *Table) usable(now time.Time, p *pool, r Request) []*upstream {
 	var preferred, fallback []*upstream
 	trusted := p.trustsPeers(now)
@@ -186,7 +185,7 @@
 		case !u.present(now) || u.gone(now) || u.atSlowStartLimit(now) || slices.Contains(r.Exclude, u.ID) || !t.maySend(now, p, u, r.Least):
 		case u.ejected(now) || t.inSlowStart(now, u, r),
 			trusted && u.peersAvoid(now),
-			trusted && u.health.OnTrial(now) && !t.mayProbe(now, u, r):
+			trusted && u.health.OnTrial(now) && !t.mayTry(now, u, r):
 			fallback = append(fallback, u)
 		default:
 			preferred = append(preferred, u)
@@ -198,7 +197,7 @@
 	return preferred
 }
 
-// consider works out the cost of sending the request to the upstream.
+// evaluate computes the cost of sending the request to the upstream.
 func (t *Table) evaluate(now time.Time, p *pool, u *upstream, r Request, keys []uint64, baseline baseline, home bool) Choice {
 	c := Choice{
 		Instance: u.Instance,
@@ -230,7 +229,8 @@
 	return c
 }
 
-// send counts the request at the upstream, with what bounds it.
+// commit counts the request at the upstream and against its warm-up pacing and rate
+// limit.
 func (t *Table) commit(now time.Time, p *pool, u *upstream, r Request, c *Choice) {
 	if p.isCold(now, u) {
 		c.Cold = true
@@ -240,7 +240,7 @@
 	t.track(now, p, u, r, c)
 }
 
-// count counts the request at the upstream.
+// track counts the request at the upstream.
 func (t *Table) track(now time.Time, p *pool, u *upstream, r Request, c *Choice) {
 	t.lastRun++
 	c.run = t.lastRun
--- a/internal/core/balance/recent.go
+++ b/internal/core/balance/recent.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// recent is a mean over the latest samples, in milliseconds.
+// recentMean is an exponentially weighted mean of recent samples, in milliseconds.
 type recentMean struct {
 	mean float64
 	at   time.Time
 }
 
-// learn takes a sample; weight is its part of the new mean.
+// learn adds a sample; weight is its weight in the new mean.
 func (r *recentMean) learn(now time.Time, sample, weight float64) {
 	if _, ok := r.value(now); !ok {
 		r.mean = sample
@@ -17,7 +17,7 @@
 	r.at = now
 }
 
-// value returns the mean; false if nothing was learned lately.
+// value returns the mean; false if there are no recent samples.
 func (r *recentMean) value(now time.Time) (float64, bool) {
 	return r.mean, !r.at.IsZero() && now.Sub(r.at) <= sampleTTL
 }
--- a/internal/core/balance/reserve.go
+++ b/internal/core/balance/reserve.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// The load that this answers: streams whose callers bear only short pauses run
-// beside long prompts. One prompt beside them does no harm, but several in a row hold
-// their tokens up for longer than they bear. Where streams run everywhere, there is no
-// engine left to read a burst of prompts.
+// Streams with a tight gap target run beside long prompts. A single prefill beside them
+// does no harm, but several in a row delay their tokens beyond the target. If such
+// streams run on all engines, no engine is left for a burst of prompts.
 //
-// So tight streams settle at the beginning of a common order of the engines, and other
-// prompts keep away from as many engines as the streams need. Both are costs and no
-// walls: an engine that is free takes anything. All gateways agree on the order without
-// a word, and the number of streams changes slowly, so that an old picture does little
-// harm. Where streams need more than half of the pool there is no part to keep for
-// them, and the places count less and less.
+// Tight streams are therefore packed at the beginning of a common order of the engines,
+// and other prompts avoid as many engines as the streams need. Both rules are costs
+// rather than hard constraints: an idle engine accepts any request. All gateways agree on
+// the order without communication, and the number of streams changes slowly, so a stale
+// view does little harm. If the streams need more than half of the pool, no part can be
+// reserved for them, and the weight of the positions decreases.
 
 const (
-	// settleWeight is what the last engine in the order costs a tight stream more
-	// than the first one, in milliseconds. It is less than a first event may take.
+	// positionWeight is the cost of the last engine in the order for a tight stream
+	// compared with the first one, in milliseconds. It is less than the target for a
+	// first event.
 	positionWeight = 300.0
-	// giveWayWeight is what the first engine costs other prompts for each tier that
-	// they stand below the streams, in milliseconds.
+	// yieldWeight is the cost of the first engine for other prompts, for each tier that
+	// they rank below the streams, in milliseconds.
 	yieldWeight = 200.0
-	// comfortShare is the part of an engine's slots that tight streams fill while
-	// there is room: their own prompts make them pause where there are more.
+	// tightSlotShare is the fraction of an engine's slots that tight streams fill while
+	// there is room: with more of them, their own prompts cause gaps.
 	tightSlotShare = 0.2
-	// settledMost is the part of a pool that may be kept for tight streams.
+	// maxReservedShare is the fraction of a pool that may be reserved for tight streams.
 	maxReservedShare = 0.5
-	// settledFor is how long the part is not worked out anew.
+	// reservationTTL is how long a computed reservation is reused.
 	reservationTTL = 50 * time.Millisecond
 )
 
-// settlement is the part of a pool, from the beginning of its order, where tight
-// streams settle.
+// reservation is the share of a pool, from the beginning of its order, that is reserved
+// for tight streams.
 type reservation struct {
 	share float64
-	// strength is how much the places count: 1 while the streams need at most that part.
+	// weight scales the cost of positions: 1 while the streams need at most the maximum
+	// share.
 	weight float64
-	// backlog is the mean time that the engines need to read what they have, in
-	// milliseconds.
+	// backlog is the mean prefill backlog of the engines, in milliseconds.
 	backlog float64
 	at      time.Time
 }
 
-// settled returns where the pool's tight streams settle now.
+// reserved returns the pool's current reservation.
 func (p *pool) reserved(now time.Time) reservation {
 	if now.Sub(p.reservation.at) < reservationTTL {
 		return p.reservation
@@ -68,7 +68,7 @@
 	return p.reservation
 }
 
-// placeCost is what the place of the engine in the order costs the request.
+// positionCost is the cost of the engine's position in the order for the request.
 func (p *pool) positionCost(now time.Time, u *upstream, tier int, tight bool) float64 {
 	if p.gapTargets.tightLimit == 0 {
 		return 0
--- a/internal/core/balance/retry_after.go
+++ b/internal/core/balance/retry_after.go
@@ -6,21 +6,21 @@
 	"github.com/gladegauge/gladegauge/internal/core/rendezvous"
 )
 
-// comeBackSpread is the part of the time until an upstream's rest ends over which the
-// callers that it turned away come back: so long as they came for, so long they return.
+// retrySpread is the jitter of retries, as a fraction of the time until an upstream's
+// backoff ends: rejected callers arrived over such a time and return over one.
 const retrySpread = 0.5
 
-// returnWait is when the callers come back that would flood the first upstream that is
-// back from its rest: after about one answer, when it may get more.
+// returnDelay is the retry delay of callers that would overload the first upstream to
+// return from its backoff. It is about one answer; after that the upstream may get more.
 const returnDelay = 100 * time.Millisecond
 
-// turnBacklogMost is the longest time over which callers are spread that found no turn.
+// maxTurnBacklog is the longest time over which callers that found no turn are spread.
 const maxTurnBacklog = 4 * time.Second
 
-// ComeBack is the time after which a caller is to come back if all upstreams of the pool
-// that are there rest, have just returned and would be flooded, or have no turn: when the
-// first of them takes more, and for some callers a while later. It is 0 while there is
-// another one. isLimited tells that turns are what lacks.
+// ComeBack returns the time after which a caller should retry if all available upstreams
+// of the pool are backing off, are at their slow-start limit, or have no turn: the time
+// until the first of them accepts more, plus jitter. It is 0 if there is any other
+// upstream. isLimited reports that the rate limits are the reason.
 func (t *Table) ComeBack(now time.Time, pool string, hash uint64) (after time.Duration, isLimited bool) {
 	p, ok := t.pools[pool]
 	if !ok {
@@ -51,8 +51,8 @@
 	return after + time.Duration(float64(spread)*rendezvous.Part(hash)), isLimited
 }
 
-// turnBacklog is the time over which callers come back that found no turn: until all gateways
-// have had as many turns as callers were refused lately.
+// turnBacklog is the time over which callers without a turn retry: until all gateways
+// have had as many turns as callers were refused recently.
 func (t *Table) turnBacklog(now time.Time, p *pool) time.Duration {
 	rate := 0.0
 	for _, u := range p.members {
--- a/internal/core/balance/room.go
+++ b/internal/core/balance/room.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// fullShare is the part of an engine's slots from which on it is taken to be full.
-// The rest is for what other gateways send before they have told of it: beyond its
-// slots an engine breaks into streams that run.
+// fullShare is the fraction of an engine's slots from which on it is considered full. The
+// rest is headroom for requests that other gateways have sent but not yet reported:
+// beyond its slots an engine interrupts running streams.
 const fullShare = 0.9
 
-// withRoom leaves out the engines that are nearly full while others have room. Plain
-// services work through a queue of their own.
+// withRoom excludes engines that are nearly full while others have room. Plain services
+// have a queue of their own and are never excluded.
 func (p *pool) withRoom(now time.Time, list []*upstream) []*upstream {
 	if p.engine == nil {
 		return list
--- a/internal/core/balance/sample.go
+++ b/internal/core/balance/sample.go
@@ -6,78 +6,79 @@
 	"github.com/gladegauge/gladegauge/internal/core/rendezvous"
 )
 
-// The load that this answers: many gateways choose by the same picture of the
-// engines, which is some hundred milliseconds old. If each of them compares all
-// engines, all choose the same few until the next word. With 103 gateways a prompt
-// waited for a second at one engine while half of the pool idled.
+// Many gateways choose from the same view of the engines, which is some hundred
+// milliseconds old. If each of them compared all engines, all would choose the same few
+// until the next update (herding). With 103 gateways a prompt waited for a second at one
+// engine while half of the pool was idle.
 //
-// So a choice compares only some engines, drawn at random, as many as leave the best
-// one about the same number of requests of others until the next word. A small
-// fleet compares all of them. Plain services are chosen in the same way.
+// A pick therefore compares only a random sample of the engines, sized such that the best
+// one gets about the same number of requests from other gateways until the next update. A
+// small fleet compares all engines. Plain services are sampled in the same way.
 
 const (
-	// drawnShare is the number of requests of others that may go to the best engine
-	// before its picture changes.
+	// herdLimit is the number of requests from other gateways that may go to the best
+	// engine before the view of it is updated.
 	herdLimit = 14.0
-	// drawnShareBusy is that of prompts while all engines have much to read: what others
-	// send meanwhile takes an engine longer than the picture is old. Not so where streams
-	// run on every engine that reads little: there prompts must find the ones that read
-	// nothing.
+	// herdLimitBusy is the limit for prompts while all engines have a prefill backlog, as
+	// the requests that others send meanwhile take an engine longer than the view is old.
+	// It does not apply while streams run on all engines with little backlog: prompts
+	// must then find the engines without any.
 	herdLimitBusy = 4.0
-	// busyFrom and busyTo are the mean times, in milliseconds, that the engines of a pool
-	// need to read what they have, between which the share falls. They are one long
-	// prompt and three.
+	// busyFromMs and busyToMs are the mean prefill backlogs of a pool's engines between
+	// which the limit falls. They correspond to one and three long prompts.
 	busyFromMs = 50.0
 	busyToMs   = 150.0
-	// leastDrawn is the least number of engines that a choice compares, however old the
-	// picture, and leastDrawnTight that of a tight stream, which settles on few of
-	// them: fewer would miss these.
+	// minSampled is the minimum sample size, however old the view is, and minSampledTight
+	// that of a tight stream: such streams are packed onto few engines, which a smaller
+	// sample would miss.
 	minSampled      = 3
 	minSampledTight = 16
-	// leastDrawnService is that of a plain service. Its requests take a tenth of the
-	// time that the picture is old, so that comparing more sends a burst to a few.
+	// minSampledService is the minimum for a plain service. Its requests take a tenth of
+	// the age of the view, so a larger sample would send a burst to a few upstreams.
 	minSampledService = 2
-	// drawAllBelow: where so many times the number to draw are there, all are compared.
+	// compareAllFactor: all upstreams are compared if there are at most this many times
+	// the sample size.
 	compareAllFactor = 2
-	// leastKindShare is the part of all requests that are taken to be of the same kind
-	// at least: of a rare one, a gateway of a large fleet sees too few to tell.
+	// minKindShare is the minimum share of all requests that are assumed to be of the
+	// same kind: a gateway of a large fleet sees too few requests of a rare kind to
+	// estimate its share.
 	minKindShare = 0.25
-	// pictureAgeMost bounds the age of the picture, for a gateway that hears nothing.
+	// maxPeerAge bounds the age of the view, for a gateway that receives no updates.
 	maxPeerAge = time.Second
-	// arrivalsMemory is the time over which arrivals are counted: a second or two
-	// of a burst.
+	// arrivalsWindow is the time over which arrivals are counted: a second or two of a
+	// burst.
 	arrivalsWindow = 2 * time.Second
 )
 
-// arrivals follows how often something happens.
+// arrivals is a decaying event counter.
 type arrivals struct {
 	count float64
 	at    time.Time
 }
 
-// note counts one.
+// note counts one event.
 func (a *arrivals) note(now time.Time) {
 	a.count = 1 + a.count*a.decay(now)
 	a.at = now
 }
 
-// left is the weight that earlier arrivals still have.
+// decay is the weight that earlier events still have.
 func (a *arrivals) decay(now time.Time) float64 {
 	return max(0, 1-float64(now.Sub(a.at))/float64(arrivalsWindow))
 }
 
-// within is the number to expect in the time.
+// expected is the expected number of events in d.
 func (a *arrivals) expected(now time.Time, d time.Duration) float64 {
 	return a.count * a.decay(now) * float64(d) / float64(arrivalsWindow)
 }
 
-// sent follows what this gateway sent to a pool.
+// sent counts the requests that this gateway sent to a pool.
 type sent struct {
 	tight  arrivals
 	others arrivals
 }
 
-// of returns the arrivals of tight streams, or those of other requests.
+// of returns the counter of tight streams or that of other requests.
 func (s *sent) of(tight bool) *arrivals {
 	if tight {
 		return &s.tight
@@ -85,8 +86,8 @@
 	return &s.others
 }
 
-// drawn returns the upstreams that the request is compared on: the home of its shared
-// parts, and some that its hash draws.
+// sampled returns the upstreams to compare for the request: the home of its shared parts
+// and a sample drawn by its hash.
 func (t *Table) sampled(now time.Time, p *pool, list []*upstream, home *upstream, r Request) []*upstream {
 	n := t.sampleSize(now, p, len(list), p.gapTargets.isTight(r.Pause))
 	if compareAllFactor*n >= len(list) {
@@ -96,8 +97,9 @@
 	if home != nil {
 		sampled = append(sampled, home)
 	}
-	// A cold one that this gateway holds, or one with a limit, gets nothing from the
-	// others, and one on trial waits for one of its requests.
+	// Cold upstreams held by this gateway and upstreams with a rate limit get no requests
+	// from other gateways, and an upstream on trial depends on a request from this one,
+	// so these are always compared.
 	for _, u := range list {
 		if u != home && (p.isCold(now, u) || u.limit.Named || u.health.OnTrial(now)) {
 			sampled = append(sampled, u)
@@ -109,8 +111,8 @@
 	return sampled
 }
 
-// toDraw is the number of engines of n to compare, by what other gateways are
-// expected to have sent since their word.
+// sampleSize is the number of engines out of n to compare, given how many requests other
+// gateways are expected to have sent since their last update.
 func (t *Table) sampleSize(now time.Time, p *pool, n int, tight bool) int {
 	age := t.peerAge(now)
 	kind, rest := p.sent.of(tight).expected(now, age), p.sent.of(!tight).expected(now, age)
@@ -122,8 +124,8 @@
 	return max(p.minSampled(tight), int(limit*float64(n)/others))
 }
 
-// drawnShare is the number of requests of others that the best engine may get before
-// its picture changes.
+// herdLimit is the number of requests from other gateways that the best engine may get
+// before the view of it is updated.
 func (p *pool) herdLimit(now time.Time, tight bool) float64 {
 	if tight || p.engine == nil {
 		return herdLimit
@@ -132,7 +134,7 @@
 	return herdLimit + busy*(herdLimitBusy-herdLimit)
 }
 
-// leastDrawn is the least number of upstreams that a choice compares.
+// minSampled is the minimum number of upstreams that a pick compares.
 func (p *pool) minSampled(tight bool) int {
 	switch {
 	case p.engine == nil:
@@ -144,7 +146,7 @@
 	}
 }
 
-// pictureAge is how old the word of the other gateways is.
+// peerAge is the age of the loads reported by other gateways.
 func (t *Table) peerAge(now time.Time) time.Duration {
 	if t.peersAt.IsZero() {
 		return maxPeerAge
--- a/internal/core/balance/slowness.go
+++ b/internal/core/balance/slowness.go
@@ -5,32 +5,30 @@
 	"time"
 )
 
-// slowMost bounds how slow an engine is taken to be, as a multiple of its pool:
-// more is better told by the prompts that wait there.
+// maxSlowness bounds the estimated slowness of an engine relative to its pool: beyond it,
+// the prompts that wait there are a better signal.
 const maxSlowness = 16.0
 
-// usualGaps are the median tempo and strain of a pool's engines; 0 if none is
-// known.
+// medianGaps holds the medians of the base gaps and mean gaps of a pool's engines; 0 if
+// unknown.
 type medianGaps struct {
 	base    float64
 	meanGap float64
 }
 
-// tempoSeen is the tempo of the engine by the word of all gateways; false if none
-// knows it.
+// fleetBaseGap is the base gap of the engine over all gateways; false if none knows it.
 func (u *upstream) fleetBaseGap(now time.Time) (float64, bool) {
 	own, ok := u.baseGap.value(now)
 	return u.combineGap(now, own, ok, u.peerLoad.Tempo, u.peerLoad.Tempos)
 }
 
-// strainSeen is the strain of the engine by the word of all gateways.
+// fleetMeanGap is the mean gap of the engine over all gateways.
 func (u *upstream) fleetMeanGap(now time.Time) (float64, bool) {
 	own, ok := u.meanGap.value(now)
 	return u.combineGap(now, own, ok, u.peerLoad.Strain, u.peerLoad.Strains)
 }
 
-// meanGap is the mean of this gateway's gap, if it has one, and of those of n
-// others.
+// combineGap is the mean of this gateway's value, if known, and those of n others.
 func (u *upstream) combineGap(now time.Time, own float64, known bool, others float64, n int) (float64, bool) {
 	sum, count := 0.0, 0
 	if known {
@@ -46,7 +44,7 @@
 	return sum / float64(count), true
 }
 
-// usualGaps returns the medians of the pool.
+// medianGaps returns the medians of the pool.
 func (p *pool) medianGaps(now time.Time) medianGaps {
 	var tempos, strains []float64
 	for _, u := range p.members {
@@ -60,7 +58,7 @@
 	return medianGaps{base: median(tempos), meanGap: median(strains)}
 }
 
-// median returns the lower median; 0 of nothing.
+// median returns the lower median; 0 for an empty list.
 func median(list []float64) float64 {
 	if len(list) == 0 {
 		return 0
@@ -69,9 +67,8 @@
 	return list[(len(list)-1)/2]
 }
 
-// slowness is how much slower the engine is than its pool usually is; 1 for one
-// that is not. Tight streams count how long its streams pause now, with all that
-// it reads.
+// slowness is how much slower the engine is than the pool's median, at least 1. For tight
+// streams the current mean gap counts as well, which includes prefill.
 func (u *upstream) slowness(now time.Time, pool medianGaps, tight bool) float64 {
 	gap, ok := u.fleetBaseGap(now)
 	slow := multiple(gap, pool.base, ok)
@@ -82,7 +79,7 @@
 	return max(slow, multiple(gap, pool.meanGap, ok))
 }
 
-// multiple is how many times the usual gap a known gap is.
+// multiple is the ratio of a known gap to the median, between 1 and maxSlowness.
 func multiple(gap, median float64, known bool) float64 {
 	if !known || median == 0 {
 		return 1
--- a/internal/core/balance/speed.go
+++ b/internal/core/balance/speed.go
@@ -2,29 +2,30 @@
 
 import "time"
 
-// Learning of an engine's reading speed. Waits only ever make an engine look
-// slow, so the estimate follows fast readings quickly and slow ones slowly.
+// The estimate of an engine's prefill speed follows fast samples quickly and slow ones
+// slowly, as queueing only ever makes an engine look slow.
 const (
-	// defaultReading is the speed, in prompt tokens a millisecond, that is
-	// assumed until prompts were read.
+	// defaultReading is the speed, in prompt tokens per millisecond, that is assumed
+	// until prompts have been read.
 	defaultReading = 40.0
-	// minSample is the smallest prompt, in tokens, that says something.
+	// minSpeedSample is the minimum size of a prompt, in tokens, for it to be a useful
+	// sample.
 	minSpeedSample = 1500
 	riseWeight     = 0.3
 	fallWeight     = 0.02
-	// defaultWork is the time that a request of a plain service is taken to
-	// need until some were answered.
+	// defaultLatency is the assumed duration of a request of a plain service until some
+	// were answered.
 	defaultLatency = 20 * time.Millisecond
-	// workWeight is the weight of the latest answer in the mean time.
+	// ewmaWeight is the weight of the latest answer in the moving averages.
 	ewmaWeight = 0.1
 )
 
-// speed is what the engines of a pool have in common.
+// speed is the prefill speed that the engines of a pool have in common.
 type speed struct {
 	reading float64
 }
 
-// tokensPerMs returns the reading speed.
+// tokensPerMs returns the prefill speed.
 func (s *speed) tokensPerMs() float64 {
 	if s.reading == 0 {
 		return defaultReading
@@ -32,7 +33,7 @@
 	return s.reading
 }
 
-// learn takes the time from sending a prompt to its first event.
+// learn records the time from sending a prompt to its first event.
 func (s *speed) learn(tokens int, d time.Duration) {
 	if tokens < minSpeedSample || d <= 0 {
 		return
@@ -45,11 +46,11 @@
 	s.reading = s.tokensPerMs() + weight*(sample-s.tokensPerMs())
 }
 
-// paceKeep is the time after which an upstream's own pace says nothing any
-// more. One that was slow is tried again then.
+// sampleTTL is the age at which measurements of an upstream are ignored. An upstream that
+// was slow is tried again then.
 const sampleTTL = 5 * time.Second
 
-// pace is how long one upstream takes for its answers.
+// latency is the mean duration of one upstream's answers.
 type latency struct {
 	meanMs float64
 	at     time.Time
@@ -63,8 +64,8 @@
 	p.at = now
 }
 
-// workMs is the mean time of an answer in milliseconds, trusted less as it
-// ages; usual is the mean of the pool.
+// estimateMs is the expected duration of an answer in milliseconds. The upstream's own
+// mean loses weight with age in favour of poolMean.
 func (p *latency) estimateMs(now time.Time, poolMean float64) float64 {
 	trust := 1 - float64(now.Sub(p.at))/float64(sampleTTL)
 	if p.meanMs == 0 || trust <= 0 {
@@ -73,7 +74,7 @@
 	return trust*p.meanMs + (1-trust)*poolMean
 }
 
-// usualWork is the mean time of an answer of the pool's upstreams.
+// meanLatencyMs is the mean duration of an answer over the pool's upstreams.
 func (p *pool) meanLatencyMs() float64 {
 	sum, n := 0.0, 0
 	for _, u := range p.members {
@@ -92,7 +93,7 @@
 	return float64(d) / float64(time.Millisecond)
 }
 
-// duration is the time of so many milliseconds.
+// duration converts milliseconds to a duration.
 func duration(ms float64) time.Duration {
 	return time.Duration(ms * float64(time.Millisecond))
 }
--- a/internal/core/balance/table.go
+++ b/internal/core/balance/table.go
@@ -16,93 +16,97 @@
 	"github.com/gladegauge/gladegauge/internal/core/warmup"
 )
 
-// Instance is one start of an upstream, as the platform lists it.
+// Instance is one incarnation of an upstream, as the platform lists it.
 type Instance struct {
-	// ID names this start; the next start at the same address has another one.
+	// ID is the upstream's identity. The next incarnation at the same address usually has
+	// another one; see Born for one that keeps it.
 	ID      string
 	Address string
 	Zone    string
 	Pool    string
-	// Slots is the number of requests that run at once.
+	// Slots is the number of requests that it runs concurrently.
 	Slots   int
 	Leaving bool
-	// Evacuated upstreams get nothing new: their availability zone is emptied.
+	// Evacuated upstreams get no new requests: their availability zone is being emptied.
 	Evacuated bool
-	// ColdUntil is until when it is cold at least, by what it said itself.
+	// ColdUntil is the earliest end of the warm-up that the upstream itself reported.
 	ColdUntil time.Time
-	// Born is when this start began, in milliseconds since 1970, by its own word; 0 if
-	// it does not say. A later start under the same identity has a later one.
+	// Born is the start time of this incarnation as reported by the upstream, in
+	// milliseconds since 1970; 0 if it does not report one. A later incarnation with the
+	// same ID has a later time.
 	Born int64
-	// Created is the platform's revision at which the entry was made. It tells
-	// entries apart that lapsed and came back; 0 if the platform does not say.
+	// Created is the platform's revision at which the entry was created. It distinguishes
+	// entries that lapsed and were created again; 0 if the platform does not report it.
 	Created int64
 }
 
-// upstream is what the table knows of one instance.
+// upstream is the state that the table keeps for one instance.
 type upstream struct {
 	Instance
-	// hash is of its identity: what gateways agree on without a word follows from it,
-	// also while some know of a new start and others do not. start is what they tell
-	// each other of it by.
+	// hash is the hash of its ID. Decisions on which gateways agree without communication
+	// are derived from it, so that they also agree while only some of them know of a new
+	// incarnation. Load exchanged between gateways is keyed by incarnation.
 	hash        uint64
 	incarnation uint64
-	// place is where it stands in the order of its pool, from 0 up to 1.
+	// position is its relative position in the order of its pool, from 0 up to 1.
 	position float64
-	// said is what it has said of itself in its answers, health what these show.
+	// notices is what it reported about itself in its answers; health is derived from the
+	// outcomes of requests.
 	notices notice.State
 	health  health.State
 	cache   *cache
 	warmup  warmup.State
-	// throttled is who was turned away here last for too many requests.
+	// throttled is the organisation whose request it rejected last for too many requests.
 	throttled throttle
-	// limited is the limit that it has now.
+	// limit is the rate limit in force.
 	limit limit
-	// limitToldAt is when a change of it was told last.
+	// limitReportedAt is when a change of the limit was last reported to the caller.
 	limitReportedAt time.Time
 	load            load
 	latency         latency
 	baseGap         baseGap
-	// strain is the mean gap between events of its streams, whatever it reads
-	// meanwhile; pausing is the mean of the longest gaps of its tight streams.
+	// meanGap is the mean gap between events of its streams, including gaps during
+	// prefill; longestGap is the mean of the longest gap of each of its tight streams.
 	meanGap    recentMean
 	longestGap recentMean
 	running    map[uint64]*run
-	// shared is what other gateways told at sharedAt that they have here; it counts
-	// until sharedUntil.
+	// peerLoad is the load that other gateways reported for it at peerLoadAt; it is valid
+	// until peerLoadUntil.
 	peerLoad      occupancy.Load
 	peerLoadAt    time.Time
 	peerLoadUntil time.Time
-	// askedAt is when the oldest request was sent that it has not said anything
-	// after; zero if there is none.
+	// awaitingSince is when the oldest request was sent since which it has sent nothing;
+	// zero if there is none.
 	awaitingSince time.Time
-	// heardAt is when it last said anything to any request.
+	// lastHeardAt is when it last sent anything for any request.
 	lastHeardAt time.Time
-	// goneUntil is until when it is taken to be gone: another start answered in
-	// its place.
+	// goneUntil is the time until which it is considered gone, because another
+	// incarnation answered at its address or nothing listened there.
 	goneUntil time.Time
-	// superseded is true if a later start is listed at its address.
+	// superseded is true if a later entry is listed at its address.
 	superseded bool
 }
 
-// pool is the upstreams that serve the same requests.
+// pool is the set of upstreams that serve the same requests.
 type pool struct {
 	members []*upstream
-	// present is the number of members that are there for new requests. It changes when
-	// a rest ends, at orderUntil first; that is zero if none rests.
+	// present is the number of members that accept new requests. It changes when a
+	// requested backoff ends; orderValidUntil is the first such end, zero if no member is
+	// backing off.
 	present         int
 	orderValidUntil time.Time
 	cold            coldSplit
 	engine          *ingress.Engine
 	speed           speed
-	// meanTokens is the mean memory of a request, in tokens; 0 before the first.
+	// meanTokens is the mean memory of a request, in tokens; 0 before the first request.
 	meanTokens  float64
 	gapTargets  gapTargets
 	outputs     outputs
 	sent        sent
 	reservation reservation
-	// queue decides who is turned away.
+	// queue decides which requests are shed.
 	queue overload.Queue
-	// refused are the requests that found no upstream.
+	// unplaced counts the requests for which no upstream was available.
 	unplaced arrivals
 }
 
@@ -112,25 +116,25 @@
 	zone      string
 	upstreams map[string]*upstream
 	pools     map[string]*pool
-	// unlisted is what starts have said of themselves that are not on the list.
+	// unlisted holds the notices of incarnations that are not on the list.
 	unlisted notice.Book
 	lastRun  uint64
-	// toldAt is when other gateways told last what they have, toldAge how old that
-	// was by then, and gateways their number with this one.
+	// peersAt is when loads of other gateways were last received, peersAge how old they
+	// were on arrival, and gateways the number of gateways including this one.
 	peersAt  time.Time
 	peersAge time.Duration
 	gateways int
-	// coldLimits are the operators', and holds tells whether this gateway is one of the
-	// first n in the order of all of them for the key.
+	// coldLimits are set by the operators. holds reports whether this gateway is among
+	// the first n gateways in rendezvous order for the key.
 	coldLimits ColdLimits
 	holds      func(now time.Time, key uint64, n int) bool
-	// limitBounds are of upstreams that name a limit; sharers is the number of gateways
-	// that its holders are drawn from.
+	// limitBounds apply to upstreams that name a rate limit; gatewayCount returns the
+	// number of gateways from which the limit's holders are drawn.
 	limitBounds  LimitBounds
 	gatewayCount func() int
-	// news are parts that other gateways may not know of yet.
+	// newParts are cached parts that have not been announced to other gateways yet.
 	newParts []occupancy.Part
-	// forgetTurn says whose picture is looked through next for parts to forget.
+	// nextExpireBatch selects the upstreams whose cache model is expired next.
 	nextExpireBatch uint64
 }
 
@@ -147,25 +151,26 @@
 	}
 }
 
-// Changes are the identities of upstreams that came and went, of those that began to
-// leave, and of those that became cold.
+// Changes lists the IDs of upstreams that were added, were removed, began to leave or
+// became cold.
 type Changes struct {
 	Came    []string
 	Went    []string
 	Leaving []string
 	Cold    []string
-	// Restarted are those whose entry tells of another start than before.
+	// Restarted lists those whose entry describes another incarnation than before.
 	Restarted []string
 }
 
-// RestartedAs reports whether the entry tells of another start than this one. A start that
-// seems to be earlier is another one all the same: the clock of its host went back.
+// RestartedAs reports whether next is another incarnation. An incarnation with an earlier
+// start time also counts as another one: the clock of its host may have been set back.
 func (in Instance) RestartedAs(next Instance) bool {
 	return in.Born != 0 && next.Born != 0 && in.Born != next.Born
 }
 
-// Start tells this start of an upstream from all others, also from later ones under
-// the same identity. Of one that does not say when it began, the identity is all there is.
+// Start returns a key that distinguishes this incarnation from all others, including
+// later ones with the same ID. If the upstream does not report its start time, the key
+// depends on the ID alone.
 func (in Instance) Start() uint64 {
 	id := xxhash.Sum64String(in.ID)
 	if in.Born == 0 {
@@ -179,11 +184,10 @@
 	return len(c.Came)+len(c.Went)+len(c.Leaving)+len(c.Cold)+len(c.Restarted) > 0
 }
 
-// open reports whether the upstream may get anything new.
+// open reports whether the upstream may get new requests.
 func (in Instance) open() bool { return !in.Leaving && !in.Evacuated }
 
-// SetInstances takes the list of upstreams. What is known of those that stay
-// is kept.
+// SetInstances replaces the list of upstreams. The state of upstreams that stay is kept.
 func (t *Table) SetInstances(now time.Time, list []Instance) Changes {
 	var c Changes
 	seen := make(map[string]bool, len(list))
@@ -221,9 +225,10 @@
 	return c
 }
 
-// begin makes the record of a start, in place of that of an earlier one. Evacuated tells
-// whether its availability zone was until now. Of the past only what this very start has
-// said of itself counts: its entry may have lapsed and come back.
+// newUpstream creates the state of a new incarnation, replacing that of an earlier one.
+// evacuated is whether its availability zone was evacuated until now. Only notices of
+// this very incarnation are carried over, since its entry may have lapsed and been
+// created again.
 func (t *Table) newUpstream(now time.Time, in Instance, evacuated bool) *upstream {
 	incarnation := in.Start()
 	u := &upstream{
@@ -238,8 +243,9 @@
 	return u
 }
 
-// supersede notes the upstreams at whose address a later one is listed: an address
-// has one start at a time, and the entry of the earlier one has yet to lapse.
+// markSuperseded marks upstreams at whose address a later entry is listed. Only one
+// incarnation runs at an address at a time; the entry of the earlier one has not lapsed
+// yet.
 func (t *Table) markSuperseded() {
 	latest := make(map[string]int64, len(t.upstreams))
 	for _, u := range t.upstreams {
@@ -250,7 +256,7 @@
 	}
 }
 
-// index sorts the upstreams into their pools, in order of rank.
+// rebuildPools assigns the upstreams to their pools and sorts each pool by hash.
 func (t *Table) rebuildPools(now time.Time) {
 	for _, p := range t.pools {
 		p.members = p.members[:0]
@@ -266,9 +272,9 @@
 	t.setCacheLimits()
 }
 
-// order gives each upstream that is there its place: the streams that settle at the
-// beginning move out of an evacuated availability zone together, and from one that rests
-// to the next.
+// updateOrder assigns positions to the upstreams that accept new requests. When an
+// availability zone is evacuated, tight streams at the beginning of the order thus move
+// together; when an upstream backs off, they move to the next one.
 func (p *pool) updateOrder(now time.Time) {
 	p.present, p.orderValidUntil = 0, time.Time{}
 	for _, u := range p.members {
@@ -289,7 +295,7 @@
 	}
 }
 
-// pool returns the pool, which is made if it is not there.
+// pool returns the named pool and creates it if necessary.
 func (t *Table) pool(name string) *pool {
 	p, ok := t.pools[name]
 	if !ok {
@@ -299,7 +305,7 @@
 	return p
 }
 
-// SetPools takes what the configuration says of the pools' engines.
+// SetPools applies the configuration of the pools' engines.
 func (t *Table) SetPools(table *ingress.Table) {
 	for name := range t.pools {
 		if p, ok := table.Pool(name); ok {
@@ -311,7 +317,7 @@
 	t.setCacheLimits()
 }
 
-// limitCaches bounds the pictures of caches by the engines' memory.
+// setCacheLimits bounds the cache models by the engines' memory.
 func (t *Table) setCacheLimits() {
 	for _, p := range t.pools {
 		if p.engine == nil {
@@ -323,14 +329,14 @@
 	}
 }
 
-// reorder gives the places anew if a rest has ended since.
+// refreshOrder updates the order if a requested backoff has ended since.
 func (p *pool) refreshOrder(now time.Time) {
 	if !p.orderValidUntil.IsZero() && !now.Before(p.orderValidUntil) {
 		p.updateOrder(now)
 	}
 }
 
-// Size returns the number of upstreams of the pool that are there for new requests.
+// Size returns the number of upstreams of the pool that accept new requests.
 func (t *Table) Size(name string) int {
 	if p, ok := t.pools[name]; ok {
 		return p.present
--- a/internal/core/balance/throttle.go
+++ b/internal/core/balance/throttle.go
@@ -3,28 +3,27 @@
 import "time"
 
 const (
-	// throttleMemory is how long an organisation that an upstream turned away for too many
-	// requests is remembered.
+	// throttleTTL is how long the organisation that an upstream throttled is remembered.
 	throttleTTL = 2 * time.Second
-	// throttledMost is the part of what is there of a pool that may turn an organisation
-	// away before that is taken for its own fault.
+	// maxThrottledShare is the fraction of a pool's available upstreams that may throttle
+	// an organisation before the organisation is considered the cause.
 	maxThrottledShare = 0.5
 )
 
-// throttle is the organisation that an upstream turned away last for too many requests.
+// throttle is the organisation that an upstream throttled last.
 type throttle struct {
 	organisation uint64
 	at           time.Time
 }
 
-// of reports whether the organisation was turned away lately.
+// matches reports whether the organisation was throttled recently.
 func (th throttle) matches(now time.Time, organisation uint64) bool {
 	return !th.at.IsZero() && th.organisation == organisation && now.Sub(th.at) < throttleTTL
 }
 
-// throttles notes that the upstream turned the request away for too many requests, and
-// reports whether that says something of the upstream. An organisation that most of the
-// pool turns away sends more than it may: otherwise it could have them left out.
+// noteThrottle records that the upstream throttled the request, and reports whether that
+// counts against the upstream. An organisation that is throttled by most of the pool
+// sends too much: otherwise it could have the upstreams ejected.
 func (t *Table) noteThrottle(now time.Time, u *upstream, r *run) bool {
 	u.throttled = throttle{organisation: r.organisation, at: now}
 	n, present := 0, 0
--- a/internal/core/balance/votes.go
+++ b/internal/core/balance/votes.go
@@ -6,38 +6,40 @@
 	"github.com/gladegauge/gladegauge/internal/core/health"
 )
 
-// The load that this answers: a part of a pool refuses or fails most requests. Each
-// gateway found each such upstream out for itself, so that the loss grew with their
-// number.
+// A part of a pool refuses or fails most requests. If each gateway detected each such
+// upstream separately, the loss would grow with the number of gateways.
 //
-// Each gateway tells of the latest that it saw of an upstream: an answer, or a failure or
-// refusal. Where most votes are against it, all put it last for a time, and then a few of
-// them try it with the least urgent requests, until one answer ends it.
+// Each gateway therefore publishes its latest observation of an upstream: an answer, or a
+// failure or refusal. If most votes are against an upstream, all gateways put it last for
+// a time. Then a few of them try it with requests of the lowest urgency, until one answer
+// ends the trial.
 
 // trialGateways is the number of gateways that try an upstream that votes put last.
 const trialGateways = 2
 
-// Outvoted is an upstream that votes put last, and how they stood.
+// Outvoted is an upstream that votes put last, and the count of the votes.
 type Outvoted struct {
 	ID string
 	health.Verdict
 }
 
-// mayTry reports whether the request may be the trial of such an upstream: one of the least
-// urgent, while there are some, and one at a time; where the votes were against it, of a
-// few gateways.
-func (t *Table) mayProbe(now time.Time, u *upstream, r Request) bool {
+// mayTry reports whether the request may be sent to such an upstream as a trial: one
+// request at a time, of the lowest urgency while there are some, and after votes against
+// it only from a few gateways.
+func (t *Table) mayTry(now time.Time, u *upstream, r Request) bool {
 	if u.unanswered() > 0 || (!r.Least && !u.health.Untried(now)) {
 		return false
 	}
 	return !u.health.TrialOfFew(now) || t.holds(now, u.hash, trialGateways)
 }
 
-// countVotes takes the votes of all gateways on the upstream, and reports whether they put it
-// last from now on.
+// applyVotes applies the votes of all gateways on the upstream, and reports whether they
+// newly put it last.
 func (u *upstream) applyVotes(now time.Time) (Outvoted, bool) {
 	if u.peerLoad.Failing == 0 && !u.health.Outvoted() {
-		return Outvoted{}, false // As of most: with a walk over pools, 0.63 ms for 3,000 -> 0.19 ms.
+		// The common case. Together with iterating over pools, this check reduced the time
+		// for 3,000 upstreams from 0.63 ms to 0.19 ms.
+		return Outvoted{}, false
 	}
 	next, v, ok := u.health.WithVotes(now, health.Votes{Failing: u.peerLoad.Failing, Served: u.peerLoad.Served})
 	u.health = next
