--- a/internal/core/balance/alone_test.go
+++ b/internal/core/balance/alone_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// A request that may end its engine goes where the fewest others are, whatever is kept
-// of its prompt elsewhere, and has nothing copied for it.
-func TestAlone(t *testing.T) {
+// A request suspected of crashing engines goes to the upstream with the fewest requests,
+// even if its prompt is cached elsewhere, and nothing is copied for it.
+func TestIsolate(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	table := New("a")
@@ -33,8 +33,9 @@
 	is.True(!c.Backup.Any())
 }
 
-// The end of an upstream that was leaving says nothing about what it ran.
-func TestLeaves(t *testing.T) {
+// The end of an upstream that was leaving is no evidence against the requests that ran
+// there.
+func TestEndExpected(t *testing.T) {
 	is := is.New(t)
 	table := New("a")
 	table.SetInstances(time.Unix(1000, 0), []Instance{
@@ -46,8 +47,8 @@
 	is.True(table.Leaves("gone from the list"))
 }
 
-// A start that begins anew under its identity is told apart from the one before.
-func TestStart(t *testing.T) {
+// Two incarnations with the same ID have different keys.
+func TestIncarnation(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Instance{ID: "a", Born: 1}.Start(), Instance{ID: "a", Born: 1, Leaving: true}.Start())
 	is.True(Instance{ID: "a", Born: 1}.Start() != Instance{ID: "a", Born: 2}.Start())
--- a/internal/core/balance/backup_test.go
+++ b/internal/core/balance/backup_test.go
@@ -9,8 +9,8 @@
 	"github.com/gladegauge/gladegauge/internal/core/occupancy"
 )
 
-// A copy is kept of runs that may not be repeated, if their answers are long
-// beside their prompts and engines keep copies.
+// Backups are made for requests that may not be repeated, if their answers are long
+// relative to their prompts and the engines support it.
 func TestBackup(t *testing.T) {
 	chat := Prompt{Model: 1, Tokens: 500, OutputHint: 400, Parts: []Part{{ID: 1, Tokens: 500}}}
 	long := Prompt{Model: 1, Tokens: 9000, OutputHint: 40, Parts: []Part{{ID: 1, Tokens: 9000}}}
@@ -24,7 +24,7 @@
 		{"long answer", true, Request{Protect: true, Prompt: chat}, 4, true},
 		{"may be repeated", true, Request{Prompt: chat}, 4, false},
 		{"long prompt", true, Request{Protect: true, Prompt: long}, 4, false},
-		{"engines keep none", false, Request{Protect: true, Prompt: chat}, 4, false},
+		{"engines without backups", false, Request{Protect: true, Prompt: chat}, 4, false},
 		{"no other engine", true, Request{Protect: true, Prompt: chat}, 1, false},
 	}
 	for _, tt := range tests {
@@ -49,13 +49,13 @@
 			table.Ended(at(20), next, Completed, Answer{Tokens: 100})
 			table.SetInstances(t0, nil)
 			_, ok = table.Continue(at(30), tt.r, c.Backup)
-			is.True(!ok) // it has gone
+			is.True(!ok) // the engine is gone
 		})
 	}
 }
 
-// The copy is on the engine with the least to do, by the word of all gateways.
-func TestBackupIsWhereLeastIsToDo(t *testing.T) {
+// The backup is on the engine with the fewest requests over all gateways.
+func TestBackupOnLeastLoadedEngine(t *testing.T) {
 	is := is.New(t)
 	table := enginesWith(t, 4)
 	p := table.pools["p"]
@@ -63,8 +63,8 @@
 	for i, u := range p.members {
 		loads[u.hash] = occupancy.Load{Requests: 10 - i}
 	}
-	table.OthersHave(t0, pictureOf(loads))
+	table.OthersHave(t0, peerLoadsOf(loads))
 	idlest := p.members[3]
 	is.Equal(backupFor(at(1), p.members[0], p.members, Request{}).ID, idlest.ID)
-	is.Equal(backupFor(at(1), idlest, p.members, Request{}).ID, p.members[2].ID) // never its own
+	is.Equal(backupFor(at(1), idlest, p.members, Request{}).ID, p.members[2].ID) // never the chosen engine
 }
--- a/internal/core/balance/balance_test.go
+++ b/internal/core/balance/balance_test.go
@@ -45,7 +45,7 @@
 	return Prompt{Model: 1, Tokens: 9000, Parts: []Part{{ID: 10, Tokens: 2000}, {ID: 100 + subject, Tokens: 4000}, {ID: 1000 + own, Tokens: 3000}}}
 }
 
-// Gateways that never spoke send a subject to the same home.
+// Gateways choose the same home for a subject without communication.
 func TestHomesAgree(t *testing.T) {
 	is := is.New(t)
 	homes := make(map[string]int)
@@ -65,8 +65,8 @@
 	is.True(len(homes) >= 5) // spread over the pool
 }
 
-// A home that is overloaded is left for another upstream.
-func TestHomeIsLeftUnderLoad(t *testing.T) {
+// An overloaded home is left for another upstream.
+func TestOverloadedHomeIsAvoided(t *testing.T) {
 	is := is.New(t)
 	table := enginesWith(t, 4)
 	used := make(map[string]int)
@@ -77,10 +77,10 @@
 	is.True(len(used) >= 3)
 }
 
-// What an upstream has read counts until it is known to be gone.
+// A part that an upstream has read counts as cached until it is known to be evicted.
 func TestCache(t *testing.T) {
 	is := is.New(t)
-	c := newCache(20_000) // half of it is for the picture
+	c := newCache(20_000) // the model covers half of it
 	p := prompt(1, 1)
 	keys := p.chain()
 	is.Equal(c.kept(t0, p, keys), 0)
@@ -91,17 +91,17 @@
 	other := prompt(2, 3)
 	is.Equal(c.kept(t0, other, other.chain()), 2000)
 	c.record(at(1), other, other.chain(), true)
-	is.True(c.tokens <= 10_000) // the oldest parts gave way
+	is.True(c.tokens <= 10_000) // the oldest parts were evicted
 	is.Equal(c.kept(t0.Add(cacheTTL+time.Second), other, other.chain()), 0)
-	// The same part after another beginning is another one.
+	// The same part after another prefix is a different one.
 	moved := Prompt{Model: 1, Tokens: 4000, Parts: other.Parts[1:2]}
 	is.Equal(c.kept(at(2), moved, moved.chain()), 0)
 }
 
 func plainRequest(hash int) Request { return Request{Pool: "p", Route: "r", Hash: uint64(hash)} }
 
-// An upstream that fails more often than the others gets nothing for a time,
-// and is tried again later.
+// An upstream that fails more often than the others gets no requests for a time and is
+// tried again later.
 func TestEjection(t *testing.T) {
 	is := is.New(t)
 	table := tableWith(4)
@@ -124,8 +124,8 @@
 	is.True(got(20_000, 50)["i-2"] > 0)
 }
 
-// If all fail alike, none is left out for long: there is nothing better.
-func TestAllFail(t *testing.T) {
+// If all upstreams fail alike, none is excluded for long, as there is no better one.
+func TestAllUpstreamsFail(t *testing.T) {
 	is := is.New(t)
 	table := tableWith(4)
 	used := make(map[string]int)
@@ -140,7 +140,7 @@
 	}
 }
 
-func TestPickLeavesOut(t *testing.T) {
+func TestPickExcludes(t *testing.T) {
 	tests := []struct {
 		name string
 		list []Instance
@@ -166,8 +166,9 @@
 	}
 }
 
-// Load that others caused is seen in answers, and believed less as it ages.
-func TestOthersLoad(t *testing.T) {
+// The load of other gateways is estimated from answers, with less weight as the report
+// ages.
+func TestPeerLoadEstimate(t *testing.T) {
 	is := is.New(t)
 	table := tableWith(2)
 	table.Reported(t0, "i-0", Load{Running: 8, Waiting: 8, Slots: 8})
@@ -178,8 +179,7 @@
 	is.Equal(u.inFlight(t0.Add(loadTTL)), 0.0)
 }
 
-// An upstream that was asked and says nothing is doubted before it is known to
-// be dead.
+// A silent upstream with pending requests is penalised before it is known to be dead.
 func TestSilence(t *testing.T) {
 	is := is.New(t)
 	table := tableWith(2)
@@ -191,7 +191,7 @@
 	}
 }
 
-// Everything that is counted is given back, whatever the end.
+// All counters return to zero, whatever the outcomes.
 func TestNothingLeaks(t *testing.T) {
 	is := is.New(t)
 	table := enginesWith(t, 3)
@@ -205,9 +205,9 @@
 	}
 }
 
-// A request that may wait stays with its prompt; one that may not goes where it
-// need not wait.
-func TestPatientRequestsKeepTheirHome(t *testing.T) {
+// A request that can wait stays with the engine that has its prompt cached; one that
+// cannot goes to an idle engine.
+func TestRelaxedRequestsKeepTheirHome(t *testing.T) {
 	is := is.New(t)
 	spread := func(target time.Duration) int {
 		table := enginesWith(t, 5)
--- a/internal/core/balance/bench_test.go
+++ b/internal/core/balance/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/gladegauge/gladegauge/internal/core/occupancy"
 )
 
-// BenchmarkPick chooses among the engines of a pool, while nobody says anything of himself
-// and all votes are for them.
+// BenchmarkPick measures a pick among the engines of a pool without notices and with all
+// votes in favour.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{53, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -21,7 +21,7 @@
 				loads[list[i].Start()] = occupancy.Load{Requests: 3, Served: 2}
 			}
 			table.SetInstances(t0, list)
-			table.OthersHave(t0, pictureOf(loads))
+			table.OthersHave(t0, peerLoadsOf(loads))
 			b.ReportAllocs()
 			for i := range b.N {
 				c, ok := table.Pick(at(1), plainRequest(i*7919))
@@ -34,7 +34,7 @@
 	}
 }
 
-// BenchmarkOthersHave names what the word of all other gateways costs.
+// BenchmarkOthersHave measures an update of the load of all other gateways.
 func BenchmarkOthersHave(b *testing.B) {
 	for _, n := range []int{53, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -48,13 +48,14 @@
 			ms := 0
 			for b.Loop() {
 				ms += 100
-				table.OthersHave(at(ms), pictureOf(loads))
+				table.OthersHave(at(ms), peerLoadsOf(loads))
 			}
 		})
 	}
 }
 
-// All upstreams name a limit, and a fleet of 800 gateways shares it out.
+// BenchmarkPickLimited measures a pick if all upstreams name a rate limit that a fleet of
+// 800 gateways shares.
 func BenchmarkPickLimited(b *testing.B) {
 	for _, n := range []int{53, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/core/balance/busy_test.go
+++ b/internal/core/balance/busy_test.go
@@ -10,7 +10,7 @@
 	"github.com/gladegauge/gladegauge/internal/core/occupancy"
 )
 
-// A pool is busy by what all gateways have there, whatever this one has.
+// Whether a pool is busy depends on the load of all gateways, not only of this one.
 func TestBusy(t *testing.T) {
 	tests := []struct {
 		name string
@@ -19,11 +19,11 @@
 		load    occupancy.Load
 		busy    bool
 	}{
-		{"engines that read nothing", true, occupancy.Load{Requests: 5}, false},
+		{"engines without backlog", true, occupancy.Load{Requests: 5}, false},
 		{"engines with a short prompt", true, occupancy.Load{Requests: 1, Unread: 300}, false},
 		{"engines with two long prompts", true, occupancy.Load{Requests: 2, Unread: 12_000}, true},
 		{"a service with a request on each", false, occupancy.Load{Requests: 1}, false},
-		{"a service with most slots taken", false, occupancy.Load{Requests: 4}, true},
+		{"a service with most slots in use", false, occupancy.Load{Requests: 4}, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/core/balance/cache_test.go
+++ b/internal/core/balance/cache_test.go
@@ -11,10 +11,10 @@
 	"github.com/gladegauge/gladegauge/internal/core/occupancy"
 )
 
-// The load that this replays: a fleet that runs for long tells each gateway of all parts
-// that its engines read. What is no longer believed to be kept is forgotten, so that the
-// picture holds what was told lately and not what engines' memories could ever hold.
-func TestPartsAreForgotten(t *testing.T) {
+// In a long-running fleet each gateway is told of all parts that its engines read. Parts
+// that are no longer assumed to be cached must expire; otherwise the model grows to all
+// parts that the engines' memories could ever have held.
+func TestPartsExpire(t *testing.T) {
 	for _, engines := range []int{60, 120} {
 		t.Run(fmt.Sprint(engines), func(t *testing.T) {
 			is := is.New(t)
@@ -51,7 +51,7 @@
 	}
 }
 
-// BenchmarkPartsMemory tells what a part in the picture of one engine takes, in bytes.
+// BenchmarkPartsMemory measures the memory of a part in the cache model, in bytes.
 func BenchmarkPartsMemory(b *testing.B) {
 	const parts = 1000
 	heap := func() uint64 {
--- a/internal/core/balance/cold_test.go
+++ b/internal/core/balance/cold_test.go
@@ -9,7 +9,7 @@
 	"github.com/gladegauge/gladegauge/internal/core/ingress"
 )
 
-// coldConfig has one pool whose cold upstreams handle ten requests a second for three
+// coldConfig has one pool whose cold upstreams handle ten requests per second for three
 // seconds.
 func coldConfig(t *testing.T) *ingress.Table {
 	t.Helper()
@@ -22,16 +22,16 @@
 	return cfg
 }
 
-// The number of 100 requests in one second, each of which ends at once, that the second
-// of two upstreams gets.
-func TestWhatAColdUpstreamGets(t *testing.T) {
+// Counts how many of 100 requests within one second, each of which ends at once, go to
+// the second of two upstreams.
+func TestColdUpstreamPacing(t *testing.T) {
 	holds := func(time.Time, uint64, int) bool { return true }
 	holdsNot := func(time.Time, uint64, int) bool { return false }
 	tests := []struct {
 		name   string
 		holds  func(time.Time, uint64, int) bool
 		change func(in *Instance)
-		// then is what the entry says next.
+		// then is the change in the next list.
 		then  func(in *Instance)
 		least int
 		most  int
@@ -40,13 +40,13 @@
 		{name: "cold, not held", holds: holdsNot, change: func(in *Instance) { in.ColdUntil = at(2000) }},
 		{name: "cold, held", holds: holds, change: func(in *Instance) { in.ColdUntil = at(2000) }, least: 2, most: 9},
 		{name: "no longer cold", holds: holdsNot, change: func(in *Instance) { in.ColdUntil = at(-10) }, least: 20, most: 80},
-		{name: "the next entry says nothing of it", holds: holdsNot, change: func(in *Instance) { in.ColdUntil = at(2000) },
+		{name: "next entry without warm-up", holds: holdsNot, change: func(in *Instance) { in.ColdUntil = at(2000) },
 			then: func(in *Instance) { in.ColdUntil = time.Time{} }},
 		{name: "cold again", holds: holdsNot, then: func(in *Instance) { in.ColdUntil = at(2000) }},
 		{name: "evacuated", holds: holds, change: func(in *Instance) { in.Evacuated = true }},
-		{name: "taken back", holds: holdsNot, change: func(in *Instance) { in.Evacuated = true },
+		{name: "zone no longer evacuated", holds: holdsNot, change: func(in *Instance) { in.Evacuated = true },
 			then: func(in *Instance) { in.Evacuated = false }},
-		{name: "taken back, held", holds: holds, change: func(in *Instance) { in.Evacuated = true },
+		{name: "zone no longer evacuated, held", holds: holds, change: func(in *Instance) { in.Evacuated = true },
 			then: func(in *Instance) { in.Evacuated = false }, least: 2, most: 9},
 	}
 	for _, tt := range tests {
@@ -76,8 +76,8 @@
 	}
 }
 
-// Where only cold upstreams are left that this gateway does not hold, there is nobody
-// to ask; a run does not go on there either.
+// If only cold upstreams are left that this gateway does not hold, Pick and Continue find
+// none.
 func TestOnlyColdUpstreams(t *testing.T) {
 	is := is.New(t)
 	table := New("a")
@@ -93,7 +93,7 @@
 	is.True(ok)
 }
 
-// An upstream that could not be reached may come back cold.
+// An upstream that was unreachable may come back cold.
 func TestUnreachableMayComeBackCold(t *testing.T) {
 	is := is.New(t)
 	table := New("a")
--- a/internal/core/balance/fetch_test.go
+++ b/internal/core/balance/fetch_test.go
@@ -8,13 +8,13 @@
 	"github.com/gladegauge/gladegauge/internal/core/ingress"
 )
 
-// fetchPrompt has a shared part of the given size, and one of its own.
+// fetchPrompt has a shared part and a private part of the given sizes.
 func fetchPrompt(shared, own int) Prompt {
 	return Prompt{Model: 1, Tokens: shared + 3000, Parts: []Part{{ID: 1, Tokens: shared}, {ID: uint64(100 + own), Tokens: 3000}}}
 }
 
-// A prompt that a busy home is spared is copied from there, if engines copy
-// and the link is faster than reading.
+// A prompt that is sent to another engine because its home is busy is copied from the
+// home, if the engines support copies and the link is faster than prefill.
 func TestFetchFromHome(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -35,7 +35,7 @@
 			table.pools["p"].engine = &tt.engine
 			p := fetchPrompt(tt.shared, 0)
 			home, _ := table.Pick(t0, Request{Pool: "p", Route: "long", Prompt: p})
-			is.Equal(home.FetchFrom, "") // it keeps it itself
+			is.Equal(home.FetchFrom, "") // the home has it cached
 			seen := make(map[string]bool)
 			for i := range 12 {
 				c, _ := table.Pick(t0, Request{Pool: "p", Route: "long", Prompt: fetchPrompt(tt.shared, 1+i), Hash: uint64(i)})
@@ -43,7 +43,8 @@
 					is.Equal(c.FetchFrom, "")
 					continue
 				}
-				// Also where what it lacked is on its way: it copies only what it lacks.
+				// A source is named even if the missing part is on its way, as the engine
+				// copies only what it lacks.
 				is.Equal(c.FetchFrom == home.Address, tt.want)
 				if !seen[c.ID] {
 					is.Equal(c.Unread < p.Tokens, tt.want)
@@ -55,9 +56,9 @@
 	}
 }
 
-// The home of a subject copies what subjects have in common from the home of
-// the common part; an engine that is known to keep more goes before that.
-func TestFetchFromKnown(t *testing.T) {
+// The home of a subject copies the part common to all subjects from that part's home; an
+// engine that is known to have more cached is preferred.
+func TestFetchFromBestSource(t *testing.T) {
 	is := is.New(t)
 	table := enginesWith(t, 6)
 	table.pools["p"].engine = &ingress.Engine{Moves: true, LinkMbps: 100_000, TokenBytes: 10_000}
@@ -77,7 +78,7 @@
 		fresh.Ended(at(60), c, Completed, Answer{Tokens: 10})
 		again, _ := fresh.Pick(at(80), Request{Pool: "p", Route: "r", Prompt: prompt(subject, 2)})
 		is.Equal(again.ID, c.ID)
-		is.True(again.FetchFrom != again.Address) // a source is named in case it gave way
+		is.True(again.FetchFrom != again.Address) // a source is named in case the part was evicted
 	}
 	is.True(hinted > 10)
 }
--- a/internal/core/balance/gap_risk_test.go
+++ b/internal/core/balance/gap_risk_test.go
@@ -9,9 +9,9 @@
 	"github.com/gladegauge/gladegauge/internal/core/occupancy"
 )
 
-// An engine whose tight streams paused for too long, by any gateway's word, is left
-// by such streams for one that keeps the pauses; others do not mind.
-func TestPausesOfAnEngine(t *testing.T) {
+// Tight streams avoid an engine whose tight streams had long gaps at any gateway, in
+// favour of one that meets the target; other streams do not.
+func TestGapMissRisk(t *testing.T) {
 	pause := 250 * time.Millisecond
 	tests := []struct {
 		name    string
@@ -21,18 +21,18 @@
 		max     float64
 	}{
 		{"nothing known", nil, occupancy.Load{}, 0, 0},
-		{"short pauses", []time.Duration{100 * time.Millisecond, 120 * time.Millisecond}, occupancy.Load{}, 0, 0},
+		{"short gaps", []time.Duration{100 * time.Millisecond, 120 * time.Millisecond}, occupancy.Load{}, 0, 0},
 		{"near the target", []time.Duration{230 * time.Millisecond}, occupancy.Load{}, 0.3, 0.8},
-		{"beyond it", []time.Duration{400 * time.Millisecond}, occupancy.Load{}, 1, 1},
-		{"told by two others", nil, occupancy.Load{Longests: 2, Longest: 800}, 1, 1},
-		{"others keep it", []time.Duration{400 * time.Millisecond}, occupancy.Load{Longests: 3, Longest: 300}, 0, 0},
+		{"beyond the target", []time.Duration{400 * time.Millisecond}, occupancy.Load{}, 1, 1},
+		{"reported by two other gateways", nil, occupancy.Load{Longests: 2, Longest: 800}, 1, 1},
+		{"target met at other gateways", []time.Duration{400 * time.Millisecond}, occupancy.Load{Longests: 3, Longest: 300}, 0, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			table := enginesWith(t, 1)
 			u := table.pools["p"].members[0]
-			table.OthersHave(t0, pictureOf(occupancy.Loads{u.hash: tt.told}))
+			table.OthersHave(t0, peerLoadsOf(occupancy.Loads{u.hash: tt.told}))
 			for i, d := range tt.longest {
 				c, ok := table.Pick(at(i), chat(i))
 				is.True(ok)
@@ -40,14 +40,14 @@
 			}
 			risk := u.gapMissRisk(at(10), pause)
 			is.True(risk >= tt.min && risk <= tt.max)
-			is.Equal(u.gapMissRisk(at(10), 0), 0.0) // whoever bears any pause
+			is.Equal(u.gapMissRisk(at(10), 0), 0.0) // no gap target
 			is.Equal(u.gapMissRisk(at(10).Add(sampleTTL+time.Second), pause), 0.0)
 		})
 	}
 }
 
-// Only streams that ran to their end say something, and only tight ones.
-func TestPausesAreLearnedFromTightStreams(t *testing.T) {
+// Only tight streams that ran to completion count.
+func TestLongestGapOfTightStreamsOnly(t *testing.T) {
 	is := is.New(t)
 	table := enginesWith(t, 1)
 	u := table.pools["p"].members[0]
--- a/internal/core/balance/gap_targets_test.go
+++ b/internal/core/balance/gap_targets_test.go
@@ -11,23 +11,22 @@
 	"github.com/gladegauge/gladegauge/internal/core/occupancy"
 )
 
-// chat is a tight stream with a small prompt of its own.
+// chat is a tight stream with a small private prompt.
 func chat(i int) Request {
 	own := Part{ID: uint64(50_000 + i), Tokens: 500}
 	return Request{Pool: "p", Route: "chat", Pause: 250 * time.Millisecond, Target: 300 * time.Millisecond,
 		Hash: uint64(i), Prompt: Prompt{Model: 1, Tokens: 500, OutputHint: 100, Parts: []Part{own}}}
 }
 
-// long is a stream with a long prompt, on one of twenty subjects.
+// long is a stream with a long prompt on one of twenty subjects.
 func long(i int) Request {
 	return Request{Pool: "p", Route: "long", Pause: time.Second, Target: time.Second, Tier: 1,
 		Hash: uint64(i), Prompt: prompt(uint64(i%20), uint64(i))}
 }
 
-// Long prompts keep away from engines where tight streams run, of any gateway, and
-// tight streams from engines that read; while there is nowhere else, both are
-// served anyway.
-func TestPromptsKeepAwayFromTightStreams(t *testing.T) {
+// Long prompts avoid engines that run tight streams of any gateway, and tight streams
+// avoid engines busy with prefill; if there is no other engine, both are served anyway.
+func TestPromptsAvoidTightStreams(t *testing.T) {
 	for _, n := range []int{1, 3, 6} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			is := is.New(t)
@@ -44,7 +43,7 @@
 			beside := 0
 			for i := range 40 {
 				now := at(20 * i)
-				table.OthersHave(now, pictureOf(loads))
+				table.OthersHave(now, peerLoadsOf(loads))
 				c, ok := table.Pick(now, long(i))
 				is.True(ok)
 				table.Began(at(20*i+15), c)
@@ -65,9 +64,9 @@
 	}
 }
 
-// Streams are told apart by the pauses that the configuration promises, before
-// the first request came.
-func TestPausesOfThePool(t *testing.T) {
+// Streams are classified by the gap targets in the configuration, before the first
+// request arrives.
+func TestGapTargets(t *testing.T) {
 	tests := []struct {
 		name       string
 		targets    []ingress.Pause
@@ -75,7 +74,7 @@
 		tier       int
 	}{
 		{"no streams", nil, 0, 0},
-		{"one pause", []ingress.Pause{{Target: time.Second}}, 0, 0},
+		{"one target", []ingress.Pause{{Target: time.Second}}, 0, 0},
 		{"alike", []ingress.Pause{{Target: time.Second}, {Target: 1200 * time.Millisecond}}, 0, 0},
 		{"unlike", []ingress.Pause{{Target: time.Second, Tier: 3}, {Target: 1100 * time.Millisecond, Tier: 2}, {Target: 2 * time.Second, Tier: 1}}, 1300 * time.Millisecond, 2},
 	}
@@ -91,7 +90,7 @@
 	}
 }
 
-// Lengths of answers are learned by route; a hint of the caller goes first.
+// The length of answers is learned by route; a caller's hint takes precedence.
 func TestOutputs(t *testing.T) {
 	is := is.New(t)
 	o := make(outputs)
@@ -103,8 +102,7 @@
 	is.Equal(o.expected(r), 70.0)
 }
 
-// A pool whose routes are alike, or without engines that share parts, is picked
-// from without a fault.
+// Pools whose routes are alike, or whose engines share no parts, are handled.
 func TestUnusualPools(t *testing.T) {
 	is := is.New(t)
 	table := tableWith(3)
@@ -122,7 +120,7 @@
 	is.Equal(len(used), 3)
 }
 
-// The further a request stands below tight streams, the more it yields to them.
+// The further a request ranks below tight streams, the more it yields to them.
 func TestYield(t *testing.T) {
 	is := is.New(t)
 	p := gapTargets{tightLimit: time.Second, tier: 1}
--- a/internal/core/balance/gaps_test.go
+++ b/internal/core/balance/gaps_test.go
@@ -9,7 +9,7 @@
 	"github.com/gladegauge/gladegauge/internal/core/occupancy"
 )
 
-// gapsOf returns the gaps of a stretch, in milliseconds.
+// gapsOf returns gaps of the given lengths in milliseconds.
 func gapsOf(list ...int) Gaps {
 	var g Gaps
 	for _, ms := range list {
@@ -18,8 +18,8 @@
 	return g
 }
 
-// The typical gap leaves out one reading, and is not fooled by events that came
-// late together.
+// The typical gap ignores one prefill, and events that arrive late and together do not
+// distort it.
 func TestTypicalGap(t *testing.T) {
 	tests := []struct {
 		name string
@@ -30,8 +30,8 @@
 		{"none", Gaps{}, 0, false},
 		{"too few", gapsOf(20, 20), 0, false},
 		{"steady", gapsOf(20, 20, 20, 20), 20, true},
-		{"one reading", gapsOf(20, 20, 190, 20), 20, true},
-		{"late together", gapsOf(100, 40, 0, 20), 20, true},
+		{"one prefill", gapsOf(20, 20, 190, 20), 20, true},
+		{"late and together", gapsOf(100, 40, 0, 20), 20, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -43,8 +43,8 @@
 	}
 }
 
-// An engine that reads much is not slow; one whose shortest gaps are long is, until
-// that was long ago. Tight streams count what it reads as well.
+// An engine with much prefill is not slow; one whose shortest gaps are long is, until the
+// samples expire. For tight streams gaps during prefill count as well.
 func TestSlowEngine(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -52,8 +52,8 @@
 		slow  float64
 		tight float64
 	}{
-		{"as usual", []Gaps{gapsOf(20, 20, 20)}, 1, 1},
-		{"reads much", []Gaps{gapsOf(20, 20, 20), gapsOf(100, 100, 100)}, 1, 1.4},
+		{"usual gaps", []Gaps{gapsOf(20, 20, 20)}, 1, 1},
+		{"much prefill", []Gaps{gapsOf(20, 20, 20), gapsOf(100, 100, 100)}, 1, 1.4},
 		{"slow", []Gaps{gapsOf(80, 80, 80), gapsOf(100, 100, 100)}, 4, 4.1},
 		{"very slow", []Gaps{gapsOf(9000, 9000, 9000)}, maxSlowness, maxSlowness},
 		{"nothing known", nil, 1, 1},
@@ -79,8 +79,8 @@
 	}
 }
 
-// A slow engine that one gateway has met is avoided by the others.
-func TestSlowEngineIsTold(t *testing.T) {
+// A slow engine detected by one gateway is avoided by the others.
+func TestSlowEngineIsReported(t *testing.T) {
 	is := is.New(t)
 	a, b := pair(t, 3)
 	slow, _ := a.Pick(t0, chat(1))
@@ -91,14 +91,14 @@
 		}
 		a.Heard(at(1), u.ID, gaps)
 	}
-	b.OthersHave(at(2), pictureOf(a.Loads(at(2))))
+	b.OthersHave(at(2), peerLoadsOf(a.Loads(at(2))))
 	for i := range 10 {
 		c, _ := b.Pick(at(3), long(i))
 		is.True(c.ID != slow.ID || i > 5)
 	}
 }
 
-// Prompts that wait for longer than can be explained make their engine dear.
+// Overdue prompts increase the cost of their engine.
 func TestOverdue(t *testing.T) {
 	is := is.New(t)
 	table := enginesWith(t, 2)
@@ -107,9 +107,9 @@
 	is.Equal(u.meanOverdue(at(50)), 0.0)
 	late := u.meanOverdue(at(1000))
 	is.True(late > 500)
-	table.OthersHave(at(1000), pictureOf(occupancy.Loads{u.hash: {Overdue: 1, OverdueMs: 1e12}}))
-	is.Equal(u.meanOverdue(at(1000)), (late+maxOverdueMs)/2) // no word counts for more
-	table.OthersHave(at(1000), pictureOf(nil))
+	table.OthersHave(at(1000), peerLoadsOf(occupancy.Loads{u.hash: {Overdue: 1, OverdueMs: 1e12}}))
+	is.Equal(u.meanOverdue(at(1000)), (late+maxOverdueMs)/2) // the contribution of a report is bounded
+	table.OthersHave(at(1000), peerLoadsOf(nil))
 	table.Began(at(1001), c)
 	is.Equal(u.meanOverdue(at(1001)), 0.0)
 }
--- a/internal/core/balance/gone_test.go
+++ b/internal/core/balance/gone_test.go
@@ -9,9 +9,9 @@
 	"github.com/gladegauge/gladegauge/internal/core/occupancy"
 )
 
-// An upstream that refuses connections, or that another start replaced, is left alone
-// until its entry has lapsed, and others hear of it.
-func TestDeadUpstreamIsLeftAlone(t *testing.T) {
+// An upstream that refuses connections or was replaced by another incarnation is skipped
+// until its entry has lapsed, and this is reported to other gateways.
+func TestDeadUpstreamIsSkipped(t *testing.T) {
 	for _, o := range []Outcome{Dead, Replaced} {
 		t.Run(o.String(), func(t *testing.T) {
 			is := is.New(t)
@@ -26,14 +26,14 @@
 			}
 			hash := table.upstreams[dead.ID].hash
 			is.Equal(table.Loads(at(4000))[hash].Gone, 1)
-			is.Equal(table.Loads(t0.Add(goneTTL + time.Second))[hash].Gone, 0) // tried again by then
+			is.Equal(table.Loads(t0.Add(goneTTL + time.Second))[hash].Gone, 0) // tried again after goneTTL
 		})
 	}
 }
 
-// The word of two other gateways keeps requests away from a dead upstream; less
-// than that, or what the upstream says itself, does not.
-func TestToldGone(t *testing.T) {
+// Reports by two other gateways keep requests away from a dead upstream. One report does
+// not, and neither do two if the upstream has just answered this gateway.
+func TestPeersFoundGone(t *testing.T) {
 	tests := []struct {
 		name string
 		// gone is the number of gateways that found each of four upstreams gone.
@@ -44,15 +44,15 @@
 		later time.Duration
 		used  int
 	}{
-		{"nobody says so", [4]int{}, 0, 0, 4},
-		{"one gateway may be wrong", [4]int{1, 0, 0, 0}, 0, 0, 4},
+		{"no reports", [4]int{}, 0, 0, 4},
+		{"one gateway", [4]int{1, 0, 0, 0}, 0, 0, 4},
 		{"two gateways", [4]int{2, 0, 0, 0}, 0, 0, 3},
-		{"it answers all the same", [4]int{2, 0, 0, 0}, 100, 0, 4},
-		{"it answered long before", [4]int{2, 0, 0, 0}, 900, 0, 3},
+		{"answered just now", [4]int{2, 0, 0, 0}, 100, 0, 4},
+		{"answered long ago", [4]int{2, 0, 0, 0}, 900, 0, 3},
 		{"half of the pool", [4]int{5, 5, 0, 0}, 0, 0, 2},
-		{"more than half is not believed", [4]int{5, 5, 5, 0}, 0, 0, 4},
-		{"all is not believed", [4]int{9, 9, 9, 9}, 0, 0, 4},
-		{"an old word", [4]int{2, 0, 0, 0}, 0, keepOfTests + time.Millisecond, 4},
+		{"more than half is ignored", [4]int{5, 5, 5, 0}, 0, 0, 4},
+		{"all is ignored", [4]int{9, 9, 9, 9}, 0, 0, 4},
+		{"expired reports", [4]int{2, 0, 0, 0}, 0, peerLoadTTL + time.Millisecond, 4},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -67,7 +67,7 @@
 					u.heard(at(-tt.heard))
 				}
 			}
-			table.OthersHave(t0, pictureOf(loads))
+			table.OthersHave(t0, peerLoadsOf(loads))
 			used := make(map[string]bool)
 			now := t0.Add(tt.later)
 			for i := range 60 {
@@ -80,15 +80,15 @@
 	}
 }
 
-// A run does not go on from a copy at an engine that others found gone.
-func TestNoCopyFromTheGone(t *testing.T) {
+// A request is not continued on an engine that other gateways found gone.
+func TestNoContinuationOnGoneEngine(t *testing.T) {
 	is := is.New(t)
 	table := enginesWith(t, 4)
 	b := Backup{ID: "i-2"}
-	table.OthersHave(t0, pictureOf(occupancy.Loads{table.upstreams["i-2"].hash: {Gone: 2}}))
+	table.OthersHave(t0, peerLoadsOf(occupancy.Loads{table.upstreams["i-2"].hash: {Gone: 2}}))
 	_, ok := table.Continue(at(1), chat(1), b)
 	is.True(!ok)
-	table.OthersHave(at(2), pictureOf(nil))
+	table.OthersHave(at(2), peerLoadsOf(nil))
 	_, ok = table.Continue(at(3), chat(1), b)
 	is.True(ok)
 }
--- a/internal/core/balance/hanging_test.go
+++ b/internal/core/balance/hanging_test.go
@@ -9,9 +9,9 @@
 	"github.com/gladegauge/gladegauge/internal/core/occupancy"
 )
 
-// A prompt that hangs is a vote against its engine, for as long as it does and a second
-// after; an answer that begins is one for it, and so is no other sign of life.
-func TestHangingAsEvidence(t *testing.T) {
+// A hanging prompt is a vote against its engine until one second after it ends. The start
+// of an answer is a vote in favour; other signs of life are not.
+func TestHangingVotes(t *testing.T) {
 	const (
 		against = "against"
 		neither = "neither"
@@ -21,7 +21,7 @@
 		at int
 		do func(table *Table, c Choice, now time.Time)
 	}
-	look := func(table *Table, _ Choice, now time.Time) { table.OthersHave(now, pictureOf(nil)) }
+	look := func(table *Table, _ Choice, now time.Time) { table.OthersHave(now, peerLoadsOf(nil)) }
 	leaves := func(table *Table, c Choice, now time.Time) { table.Ended(now, c, Abandoned, Answer{}) }
 	begins := func(table *Table, c Choice, now time.Time) { table.Began(now, c) }
 	ends := func(table *Table, c Choice, now time.Time) { table.Ended(now, c, Completed, Answer{}) }
@@ -42,24 +42,24 @@
 		want  Request
 		steps []step
 		vote  string
-		// bad is the number of failures in a row.
-		bad int
+		// failures is the number of consecutive failures.
+		failures int
 	}{
-		{"it waits for as long as many do", chat(1), []step{{300, look}}, neither, 0},
-		{"it hangs", chat(1), []step{{1500, look}}, against, 1},
-		{"it still hangs", chat(1), []step{{1500, look}, {4900, look}, {5000, look}}, against, 1},
-		{"its caller leaves, and nobody had looked", chat(1), []step{{2000, leaves}}, against, 1},
-		{"its caller left a while ago", chat(1), []step{{2000, leaves}, {3100, look}}, neither, 1},
-		{"its caller leaves at once", chat(1), []step{{100, leaves}}, neither, 0},
-		{"another one begins since", chat(1), []step{{1500, look}, {1600, another}}, served, 1},
-		{"another one began, and it still hangs", chat(1), []step{{1500, look}, {1600, another}, {1700, look}}, served, 1},
-		{"it begins late", chat(1), []step{{1500, look}, {1600, begins}}, served, 1},
-		{"it begins late, and is answered", chat(1), []step{{1500, look}, {1600, begins}, {1700, ends}}, served, 0},
-		{"its stream has begun, and pauses", chat(1), []step{{100, begins}, {3000, look}}, neither, 0},
-		{"requests wait there, as it says", chat(1), []step{{1400, says(Load{Running: 2, Waiting: 1, Slots: 8})}, {1500, look}}, neither, 0},
-		{"it said so a while ago", chat(1), []step{{100, says(Load{Running: 2, Waiting: 1, Slots: 8})}, {2500, look}}, against, 1},
-		{"it has as much as it takes", chat(1), []step{{1400, fills}, {1500, look}}, neither, 0},
-		{"the work of a plain service is long", plainRequest(1), []step{{5000, look}}, neither, 0},
+		{"usual wait", chat(1), []step{{300, look}}, neither, 0},
+		{"hanging prompt", chat(1), []step{{1500, look}}, against, 1},
+		{"still hangs", chat(1), []step{{1500, look}, {4900, look}, {5000, look}}, against, 1},
+		{"caller leaves before the first check", chat(1), []step{{2000, leaves}}, against, 1},
+		{"caller left a while ago", chat(1), []step{{2000, leaves}, {3100, look}}, neither, 1},
+		{"caller leaves at once", chat(1), []step{{100, leaves}}, neither, 0},
+		{"another request starts later", chat(1), []step{{1500, look}, {1600, another}}, served, 1},
+		{"another request started, first one still hangs", chat(1), []step{{1500, look}, {1600, another}, {1700, look}}, served, 1},
+		{"starts late", chat(1), []step{{1500, look}, {1600, begins}}, served, 1},
+		{"starts late and completes", chat(1), []step{{1500, look}, {1600, begins}, {1700, ends}}, served, 0},
+		{"started stream with a long gap", chat(1), []step{{100, begins}, {3000, look}}, neither, 0},
+		{"reports queued requests", chat(1), []step{{1400, says(Load{Running: 2, Waiting: 1, Slots: 8})}, {1500, look}}, neither, 0},
+		{"reported queued requests a while ago", chat(1), []step{{100, says(Load{Running: 2, Waiting: 1, Slots: 8})}, {2500, look}}, against, 1},
+		{"full engine", chat(1), []step{{1400, fills}, {1500, look}}, neither, 0},
+		{"long request at a plain service", plainRequest(1), []step{{5000, look}}, neither, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -81,28 +81,29 @@
 				vote = served
 			}
 			is.Equal(vote, tt.vote)
-			is.Equal(u.health.Failures(), tt.bad)
+			is.Equal(u.health.Failures(), tt.failures)
 			is.True(!u.ejected(at(last)))
 		})
 	}
 }
 
-// Prompts that hang beside each other are one piece of evidence: so they are when the
-// gateway itself stood still.
-func TestHangingTogether(t *testing.T) {
+// Prompts that hang concurrently count as one failure, as they also do if the gateway
+// itself was stalled.
+func TestConcurrentHangsCountOnce(t *testing.T) {
 	is := is.New(t)
 	table := enginesWith(t, 1)
 	for i := range 5 {
 		_, ok := table.Pick(at(i), chat(i))
 		is.True(ok)
 	}
-	d := table.OthersHave(at(5000), pictureOf(nil))
+	d := table.OthersHave(at(5000), peerLoadsOf(nil))
 	is.Equal(len(d.Hanging), 1)
 	is.Equal(table.upstreams["i-0"].health.Failures(), 1)
 }
 
-// A whole answer ends a row of failures, unless it had begun before the last of them.
-func TestOldStreamSaysNothingNewer(t *testing.T) {
+// A complete answer resets the failure count, unless it had started before the last
+// failure.
+func TestOldStreamKeepsFailureCount(t *testing.T) {
 	is := is.New(t)
 	table := enginesWith(t, 1)
 	old, _ := table.Pick(t0, chat(1))
@@ -120,8 +121,8 @@
 	is.Equal(table.Loads(at(330))[u.incarnation].Served, 1)
 }
 
-// Many gateways look at a pool where everything waits for long: more than half of it by
-// their word, which is not believed.
+// In a pool where all requests wait for long, the votes are against more than half of the
+// upstreams and are ignored.
 func TestAllHang(t *testing.T) {
 	is := is.New(t)
 	table := enginesWith(t, 4)
@@ -129,7 +130,7 @@
 	for _, u := range table.upstreams {
 		loads[u.incarnation] = occupancy.Load{Failing: 5}
 	}
-	table.OthersHave(t0, pictureOf(loads))
+	table.OthersHave(t0, peerLoadsOf(loads))
 	used := make(map[string]bool)
 	for i := range 60 {
 		c, ok := table.Pick(at(i), chat(i))
--- a/internal/core/balance/lend_test.go
+++ b/internal/core/balance/lend_test.go
@@ -9,8 +9,8 @@
 	"github.com/gladegauge/gladegauge/internal/core/notice"
 )
 
-// A gateway that holds nothing borrows what a holder has left, and that is all that there
-// is: what the holder lends it does not send.
+// A gateway that is no holder borrows the turns that a holder does not use. The holder
+// does not use the turns that it lends, so the total stays within its share.
 func TestLend(t *testing.T) {
 	is := is.New(t)
 	holder, other := limitedTable(1, 2, 1), limitedTable(1, 2, 1)
@@ -41,10 +41,10 @@
 	}
 	t.Logf("%d were taken, %d lent", taken, lent)
 	is.True(lent > 0)
-	is.True(taken+lent >= 7 && taken+lent <= 10) // half of the limit, as one of two holders
+	is.True(taken+lent >= 7 && taken+lent <= 10) // half of the limit, for one of two holders
 }
 
-// What may be borrowed of, and by whom.
+// Lists when a turn may be borrowed, and from which upstreams.
 func TestBorrowable(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -61,15 +61,15 @@
 			r.Exclude = []string{in.ID}
 			return r
 		}, 0},
-		{"it leaves", func(table *Table, in Instance) Request {
+		{"leaving", func(table *Table, in Instance) Request {
 			table.Notice(at(1), in, leaves)
 			return plainRequest(1)
 		}, 0},
-		{"it rests", func(table *Table, in Instance) Request {
-			table.Notice(at(1), in, restOf(time.Second))
+		{"backing off", func(table *Table, in Instance) Request {
+			table.Notice(at(1), in, backoffOf(time.Second))
 			return plainRequest(1)
 		}, 0},
-		{"a holder had none a moment ago", func(table *Table, in Instance) Request {
+		{"refused by a holder a moment ago", func(table *Table, in Instance) Request {
 			table.NotLent(at(1), in, time.Second)
 			return plainRequest(1)
 		}, 0},
@@ -87,7 +87,7 @@
 	is.Equal(len(limitedTable(9, 9, 1).Borrowable(at(10), plainRequest(7))), maxBorrowAsks)
 	table := tableWith(1)
 	_, ok := table.Lend(at(10), table.pools["p"].members[0].incarnation, false)
-	is.True(!ok) // there is no limit to have a turn of
+	is.True(!ok) // no rate limit, so no turns
 	_, ok = table.Lend(at(10), 12345, false)
 	is.True(!ok)
 }
--- a/internal/core/balance/limited_test.go
+++ b/internal/core/balance/limited_test.go
@@ -11,12 +11,14 @@
 	"github.com/gladegauge/gladegauge/internal/core/rendezvous"
 )
 
-// limitOf names a limit in the answer to a request that was sent at the millisecond.
+// limitOf returns a notice of the rate limit in the answer to a request that was sent at
+// the given millisecond.
 func limitOf(sent int, perSecond float64) notice.Notice {
 	return notice.Notice{Limit: notice.Limit{Named: true, PerSecond: perSecond}, SentAt: at(sent)}
 }
 
-// limitedTable has n upstreams that each named the limit to this one of so many gateways.
+// limitedTable has n upstreams that have each named the rate limit to one of so many
+// gateways.
 func limitedTable(n, gateways int, perSecond float64) *Table {
 	table := tableWith(n)
 	table.SetLimitBounds(LimitBounds{Window: limitWindow, Overrun: limitOverrun, Slack: limitSlack}, func() int { return gateways })
@@ -26,7 +28,8 @@
 	return table
 }
 
-// taken is the number of requests that the pool takes in the time, one asked each 10 ms.
+// taken is the number of requests that the pool accepts in the interval, with one request
+// every 10 ms.
 func taken(table *Table, from, to int, least bool) int {
 	n := 0
 	for ms := from; ms < to; ms += 10 {
@@ -40,27 +43,28 @@
 	return n
 }
 
-// A gateway takes its part of a limit, and nothing of one that others hold. Nothing is
-// saved up but a few turns, however long it has no callers.
+// A holder takes its share of a rate limit, and other gateways take nothing. Only a few
+// turns accumulate, however long there are no requests.
 func TestTurns(t *testing.T) {
 	tests := []struct {
 		name      string
 		gateways  int
 		perSecond float64
 		holds     bool
-		// from and to are when callers come, in milliseconds; so many are taken.
+		// from and to bound the time of the requests, in milliseconds; least to most of
+		// them are accepted.
 		from, to    int
 		least, most int
 	}{
 		{"alone", 1, 1, true, 0, 20_000, 17, 19},
-		{"one of two", 2, 1, true, 0, 20_000, 8, 10},
+		{"one of two holders", 2, 1, true, 0, 20_000, 8, 10},
 		{"one of five holders of many", 800, 1, true, 0, 20_000, 3, 4},
-		{"no holder", 800, 1, false, 0, 20_000, 0, 0},
+		{"not a holder", 800, 1, false, 0, 20_000, 0, 0},
 		{"a high limit", 4, 50, true, 0, 4_000, 42, 50},
-		{"a limit that binds nobody", 1, 1e12, true, 0, 4_000, 400, 400},
-		{"after an hour without callers", 2, 1, true, 3_600_000, 3_604_000, 2, 5},
-		{"none at all: somebody must hear when it ends", 1, 0, true, 0, 20_000, 4, 8},
-		{"next to none", 800, 0.001, true, 0, 20_000, 1, 2},
+		{"a limit that does not bind", 1, 1e12, true, 0, 4_000, 400, 400},
+		{"after an hour without requests", 2, 1, true, 3_600_000, 3_604_000, 2, 5},
+		{"limit 0 still allows probes for its end", 1, 0, true, 0, 20_000, 4, 8},
+		{"limit near 0", 800, 0.001, true, 0, 20_000, 1, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -74,26 +78,26 @@
 	}
 }
 
-// What a limit that rises, falls, ends or comes again does, and another start of the
-// upstream: it has named nothing.
+// Covers a rate limit that rises, falls, ends or is named again, and another incarnation
+// of the upstream, which has no limit yet.
 func TestLimitChanges(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(table *Table, in Instance)
-		// least and most are how many of 200 requests are taken in the two seconds after
-		// the change, which comes after ten seconds.
+		// least and most bound how many of 200 requests are accepted in the two seconds
+		// after the change, which comes after ten seconds.
 		least, most int
 	}{
-		{"it stays", func(*Table, Instance) {}, 1, 3},
-		{"it rises", func(table *Table, in Instance) { table.Notice(at(10_000), in, limitOf(9_000, 20)) }, 33, 47},
-		{"it falls", func(table *Table, in Instance) { table.Notice(at(10_000), in, limitOf(9_000, 0.1)) }, 0, 1},
-		{"it ends", func(table *Table, in Instance) { table.Notice(at(10_000), in, notice.Notice{SentAt: at(9_000)}) }, 200, 200},
-		{"a late answer of the time before it", func(table *Table, in Instance) { table.Notice(at(10_000), in, notice.Notice{SentAt: at(-5)}) }, 1, 3},
-		{"its entry lapses and comes back", func(table *Table, in Instance) {
+		{"limit unchanged", func(*Table, Instance) {}, 1, 3},
+		{"limit rises", func(table *Table, in Instance) { table.Notice(at(10_000), in, limitOf(9_000, 20)) }, 33, 47},
+		{"limit falls", func(table *Table, in Instance) { table.Notice(at(10_000), in, limitOf(9_000, 0.1)) }, 0, 1},
+		{"limit ends", func(table *Table, in Instance) { table.Notice(at(10_000), in, notice.Notice{SentAt: at(9_000)}) }, 200, 200},
+		{"late answer from before the limit", func(table *Table, in Instance) { table.Notice(at(10_000), in, notice.Notice{SentAt: at(-5)}) }, 1, 3},
+		{"entry lapses and is created again", func(table *Table, in Instance) {
 			table.SetInstances(at(10_000), nil)
 			table.SetInstances(at(10_000), []Instance{in})
 		}, 1, 4},
-		{"another start", func(table *Table, in Instance) {
+		{"another incarnation", func(table *Table, in Instance) {
 			in.Born = 7
 			table.SetInstances(at(10_000), []Instance{in})
 		}, 200, 200},
@@ -115,9 +119,9 @@
 	}
 }
 
-// Words that differ change a limit ten times a second. That is told once a second, and each
-// beginning and end at once.
-func TestLimitsThatDifferAreToldSeldom(t *testing.T) {
+// Conflicting reports change a limit ten times per second. Such changes are reported once
+// per second, but the start and the end of a limit at once.
+func TestFluctuatingLimitIsRateLimited(t *testing.T) {
 	is := is.New(t)
 	table := tableWith(1)
 	table.holds = func(time.Time, uint64, int) bool { return false }
@@ -134,9 +138,9 @@
 	is.True(!d.Limited[0].Named)
 }
 
-// A gateway that has sent nothing keeps a limit that others were told of, and sends again
-// when they are told of none.
-func TestLimitByTheWordOfOthers(t *testing.T) {
+// A gateway that has sent no request applies a rate limit reported by other gateways, and
+// sends again when they report that it has ended.
+func TestLimitReportedByPeers(t *testing.T) {
 	is := is.New(t)
 	table := tableWith(1)
 	table.holds = func(time.Time, uint64, int) bool { return false }
@@ -156,9 +160,9 @@
 	is.Equal(taken(table, 510, 1000, false), 49)
 }
 
-// What was told to this gateway of a limit is passed on while it is fresh; where a limit is
-// spoken of, also that there is none.
-func TestLimitIsTold(t *testing.T) {
+// A limit that an upstream named to this gateway is propagated while it is fresh; so is
+// the absence of a limit that others report.
+func TestLimitIsPropagated(t *testing.T) {
 	is := is.New(t)
 	table := limitedTable(2, 1, 8)
 	members := table.pools["p"].members
@@ -172,9 +176,9 @@
 	is.Equal(l.Free, 1)
 }
 
-// Requests that others go before leave a turn to these for a while, and get some all the
-// same.
-func TestLeastUrgentLeaveTurns(t *testing.T) {
+// Requests of the lowest urgency leave turns to more urgent ones for a while, but still
+// get some.
+func TestLowestPriorityYieldsTurns(t *testing.T) {
 	is := is.New(t)
 	table := limitedTable(1, 1, 10)
 	urgent, least := 0, 0
@@ -197,12 +201,12 @@
 	t.Logf("%d urgent, %d least urgent", urgent, least)
 	is.True(urgent >= 200)
 	is.True(least >= 20)
-	is.True(taken(limitedTable(1, 1, 10), 0, 30_000, true) >= 150) // alone they get most
+	is.True(taken(limitedTable(1, 1, 10), 0, 30_000, true) >= 150) // they get most turns if there are no others
 }
 
-// Where all upstreams have a limit, a request without a turn is told at once when to come
-// back, and the more of them there are, the longer a time they are spread over.
-func TestComeBackForATurn(t *testing.T) {
+// If all upstreams have a rate limit, a request without a turn gets a retry delay at
+// once, and the delays of more such requests are spread over a longer time.
+func TestRetryAfterWithoutTurn(t *testing.T) {
 	is := is.New(t)
 	table := limitedTable(2, 1, 1)
 	after, limited := table.ComeBack(at(10), "p", 0)
@@ -223,12 +227,13 @@
 	in := table.pools["p"].members[0].Instance
 	table.Notice(at(300), in, notice.Notice{SentAt: at(250)})
 	after, _ = table.ComeBack(at(310), "p", 0)
-	is.Equal(after, time.Duration(0)) // there is one without a limit
+	is.Equal(after, time.Duration(0)) // one has no limit
 }
 
-// An upstream with a limit counts as what it may get: no more of its pool may be left out
-// than half of what there is. Nothing is kept there that could go on there only with a turn.
-func TestLimitedUpstreamsAreNoWholeOnes(t *testing.T) {
+// An upstream with a rate limit counts with its relative capacity: no more than half of
+// the pool's capacity may be ejected. It is not used for backups, as continuing there
+// would take a turn.
+func TestLimitedUpstreamsCountPartially(t *testing.T) {
 	is := is.New(t)
 	table := limitedTable(4, 1, 0.1)
 	members := table.pools["p"].members
--- a/internal/core/balance/memory_test.go
+++ b/internal/core/balance/memory_test.go
@@ -8,8 +8,8 @@
 	"github.com/gladegauge/gladegauge/internal/core/ingress"
 )
 
-// Found by a hunt: an engine got more than its memory holds while others had
-// room, and took it from requests in the middle of their answers.
+// An engine got more than its memory holds while others had room, and preempted requests
+// in the middle of their answers.
 func TestFullMemoryCosts(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -19,9 +19,9 @@
 		full    bool
 	}{
 		{"room", 100_000, 2, Load{}, false},
-		{"own requests fill it", 40_000, 4, Load{}, true},
-		{"others fill it", 40_000, 1, Load{Running: 5}, true},
-		{"not told", 0, 50, Load{}, false},
+		{"filled by own requests", 40_000, 4, Load{}, true},
+		{"filled by other gateways", 40_000, 1, Load{Running: 5}, true},
+		{"unknown memory size", 0, 50, Load{}, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/core/balance/peers_test.go
+++ b/internal/core/balance/peers_test.go
@@ -9,42 +9,41 @@
 	"github.com/gladegauge/gladegauge/internal/core/occupancy"
 )
 
-// keepOfTests is how long a word of other gateways counts.
-const keepOfTests = 700 * time.Millisecond
+// peerLoadTTL is how long reports of other gateways are valid.
+const peerLoadTTL = 700 * time.Millisecond
 
-// pictureOf is the word of two other gateways, told just now.
-func pictureOf(loads occupancy.Loads) Picture {
-	return Picture{Loads: loads, Keep: keepOfTests, Gateways: 3}
+// peerLoadsOf returns the load of two other gateways, reported just now.
+func peerLoadsOf(loads occupancy.Loads) Picture {
+	return Picture{Loads: loads, Keep: peerLoadTTL, Gateways: 3}
 }
 
-// pair returns two gateways that see the same engines.
+// pair returns two gateways with the same engines.
 func pair(t *testing.T, n int) (*Table, *Table) {
 	t.Helper()
 	return enginesWith(t, n), enginesWith(t, n)
 }
 
-// What another gateway sent counts like what this one sent, and for a short time
-// only.
-func TestToldLoads(t *testing.T) {
+// The load of another gateway counts like this gateway's own, but only for a short time.
+func TestPeerLoads(t *testing.T) {
 	is := is.New(t)
 	a, b := pair(t, 2)
 	first, _ := a.Pick(t0, long(1))
-	b.OthersHave(at(1), pictureOf(a.Loads(at(1))))
+	b.OthersHave(at(1), peerLoadsOf(a.Loads(at(1))))
 	next, _ := b.Pick(at(2), long(2))
 	is.True(next.ID != first.ID) // the other engine is free
 	is.Equal(next.ToldAge, time.Millisecond)
 	u := b.upstreams[first.ID]
 	is.Equal(u.unread(at(2), 0), first.Unread)
 	is.Equal(u.inFlight(at(2)), 1.0)
-	later := at(3).Add(keepOfTests)
+	later := at(3).Add(peerLoadTTL)
 	is.Equal(u.unread(later, 0), 0)
 	c, _ := b.Pick(later, long(3))
 	is.True(c.ToldAge < 0)
 }
 
-// An engine that keeps a part by another gateway's word is preferred, and named as
-// the source of a copy only once it has read it.
-func TestToldParts(t *testing.T) {
+// An engine that has a part cached according to another gateway is preferred, and used as
+// the source of a copy only once it has read the part.
+func TestPeerParts(t *testing.T) {
 	is := is.New(t)
 	a, b := pair(t, 6)
 	first, _ := a.Pick(t0, long(1))
@@ -61,11 +60,11 @@
 	again, _ := b.Pick(at(202), long(21))
 	is.Equal(again.ID, first.ID)
 	is.Equal(again.Unread, 3000)
-	is.Equal(len(a.News()), 0) // told once
+	is.Equal(len(a.News()), 0) // announced only once
 }
 
-// A prompt that was refused, or lost before its first event, was not read.
-func TestPromptsThatWereNotRead(t *testing.T) {
+// A prompt that was refused, or lost before its first event, does not count as cached.
+func TestUnreadPromptsAreNotCached(t *testing.T) {
 	for _, o := range []Outcome{Refused, Replaced, Unreachable, Broken, Abandoned} {
 		t.Run(o.String(), func(t *testing.T) {
 			is := is.New(t)
@@ -85,32 +84,32 @@
 	}
 }
 
-// Engines that left, and those that nobody knows, change nothing.
-func TestToldOfUnknownEngines(t *testing.T) {
+// Reports on removed and unknown engines have no effect.
+func TestPeerLoadsOfUnknownEngines(t *testing.T) {
 	is := is.New(t)
 	table := enginesWith(t, 2)
-	table.OthersHave(t0, pictureOf(occupancy.Loads{42: {Requests: 1000, Unread: 1 << 20}}))
+	table.OthersHave(t0, peerLoadsOf(occupancy.Loads{42: {Requests: 1000, Unread: 1 << 20}}))
 	table.OthersRead(t0, []occupancy.Part{{Upstream: 42, Key: 1, Tokens: 100, Read: true}})
 	c, ok := table.Pick(at(1), long(1))
 	is.True(ok)
 	is.Equal(c.InFlight, 0.0)
 }
 
-// One gateway's word, however wrong, keeps no request from being served: the whole
-// pool may look full.
-func TestFalseWordsEmptyNoPool(t *testing.T) {
+// False reports by one gateway, even that the whole pool is full, do not prevent requests
+// from being served.
+func TestFalsePeerLoadsKeepPoolUsable(t *testing.T) {
 	is := is.New(t)
 	table := enginesWith(t, 3)
 	loads := make(occupancy.Loads)
 	for _, u := range table.upstreams {
 		loads[u.hash] = occupancy.Load{Requests: 1 << 30, Unread: 1 << 30, Tight: 1 << 30, Overdue: 1, OverdueMs: 1e12, Tempos: 1, Tempo: 1e9}
 	}
-	table.OthersHave(t0, pictureOf(loads))
+	table.OthersHave(t0, peerLoadsOf(loads))
 	used := make(map[string]bool)
 	for i := range 60 {
 		c, ok := table.Pick(at(i), long(i))
 		is.True(ok)
 		used[c.ID] = true
 	}
-	is.Equal(len(used), 3) // all alike, so that work is spread as ever
+	is.Equal(len(used), 3) // all have the same reports, so requests are spread as before
 }
--- a/internal/core/balance/refused_test.go
+++ b/internal/core/balance/refused_test.go
@@ -9,36 +9,38 @@
 	"github.com/gladegauge/gladegauge/internal/core/health"
 )
 
-// A refusal leaves an upstream out for a moment, and for longer if it goes on; one that was
-// right, or that the request itself is the reason of, hardly does.
-func TestRefusalsAsEvidence(t *testing.T) {
+// A refusal excludes an upstream for a moment, and for longer if refusals continue. A
+// justified refusal, or one caused by the request itself, has hardly any effect.
+func TestRefusals(t *testing.T) {
 	tests := []struct {
 		name string
 		o    Outcome
-		// running is the number of requests at the upstream beside the refused one.
+		// running is the number of other requests at the upstream.
 		running int
 		tokens  int
-		// took is the time until the refusal, left what the caller had left then.
+		// took is the time until the refusal, left the time to the caller's deadline
+		// then.
 		took, left time.Duration
-		// times is the number of refusals in a row.
+		// times is the number of consecutive refusals.
 		times int
-		// load is what the upstream says with its refusal; nil for nothing.
+		// load is the load that the upstream reports with its refusal; nil for none.
 		load *Load
-		// votes is true if the gateway tells of it, and out how long it is left out.
+		// votes is true if the gateway votes against the upstream; out is how long the
+		// upstream is excluded.
 		votes bool
 		out   time.Duration
 	}{
-		{"as it says itself that it is full", Refused, 0, 10, time.Millisecond, time.Second, 3, &Load{Running: 8, Slots: 8}, false, health.FullFor},
-		{"as it says that requests wait", Refused, 0, 10, time.Millisecond, time.Second, 3, &Load{Running: 2, Waiting: 1, Slots: 8}, false, health.FullFor},
-		{"though it says that it has room", Refused, 0, 10, time.Millisecond, time.Second, 1, &Load{Running: 2, Slots: 8}, true, 100 * time.Millisecond},
-		{"at once", Refused, 0, 10, time.Millisecond, time.Second, 1, nil, true, 100 * time.Millisecond},
+		{"reports that it is full", Refused, 0, 10, time.Millisecond, time.Second, 3, &Load{Running: 8, Slots: 8}, false, health.FullFor},
+		{"reports queued requests", Refused, 0, 10, time.Millisecond, time.Second, 3, &Load{Running: 2, Waiting: 1, Slots: 8}, false, health.FullFor},
+		{"reports free slots", Refused, 0, 10, time.Millisecond, time.Second, 1, &Load{Running: 2, Slots: 8}, true, 100 * time.Millisecond},
+		{"immediate refusal", Refused, 0, 10, time.Millisecond, time.Second, 1, nil, true, 100 * time.Millisecond},
 		{"three times", Refused, 0, 10, time.Millisecond, time.Second, 3, nil, true, 400 * time.Millisecond},
 		{"ten times", Refused, 0, 10, time.Millisecond, time.Second, 10, nil, true, 3200 * time.Millisecond},
-		{"as it was full", Refused, 8, 10, time.Millisecond, time.Second, 1, nil, false, health.FullFor},
-		{"as the request is too large", Refused, 0, 95_000, time.Millisecond, time.Second, 1, nil, false, health.FullFor},
-		{"after a wait in its queue", Refused, 0, 10, 400 * time.Millisecond, time.Second, 1, nil, false, health.FullFor},
+		{"full engine", Refused, 8, 10, time.Millisecond, time.Second, 1, nil, false, health.FullFor},
+		{"request too large for its memory", Refused, 0, 95_000, time.Millisecond, time.Second, 1, nil, false, health.FullFor},
+		{"after queueing", Refused, 0, 10, 400 * time.Millisecond, time.Second, 1, nil, false, health.FullFor},
 		{"with no time left", Refused, 0, 10, time.Millisecond, 20 * time.Millisecond, 1, nil, false, health.FullFor},
-		{"for the request's own fault", Declined, 0, 10, time.Millisecond, time.Second, 1, nil, false, 0},
+		{"declined", Declined, 0, 10, time.Millisecond, time.Second, 1, nil, false, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/core/balance/reserve_test.go
+++ b/internal/core/balance/reserve_test.go
@@ -10,13 +10,13 @@
 	"github.com/gladegauge/gladegauge/internal/core/occupancy"
 )
 
-// The part of a pool that is kept for tight streams follows their number.
-func TestSettledPart(t *testing.T) {
+// The reserved share of a pool follows the number of tight streams.
+func TestReservedShare(t *testing.T) {
 	tests := []struct {
 		name    string
 		streams int
 		want    float64
-		// strength is how much the places count.
+		// weight scales the cost of positions.
 		weight float64
 	}{
 		{"none", 0, 0, 1},
@@ -28,9 +28,9 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			table := enginesWith(t, 10) // 80 slots, of which a fifth is comfortable
+			table := enginesWith(t, 10) // 80 slots, of which tight streams fill a fifth
 			u := table.pools["p"].members[3]
-			table.OthersHave(t0, pictureOf(occupancy.Loads{u.hash: {Tight: tt.streams}}))
+			table.OthersHave(t0, peerLoadsOf(occupancy.Loads{u.hash: {Tight: tt.streams}}))
 			s := table.pools["p"].reserved(t0)
 			is.Equal(s.share, tt.want)
 			is.Equal(s.weight, tt.weight)
@@ -38,10 +38,9 @@
 	}
 }
 
-// Tight streams go to the beginning of the order and prompts elsewhere, at gateways
-// that never spoke to each other; each goes on where the other's place is if there is
-// no choice.
-func TestStreamsSettle(t *testing.T) {
+// Tight streams go to the beginning of the order and prompts elsewhere, at gateways that
+// never communicated. If there is only one engine, it gets both.
+func TestStreamsArePacked(t *testing.T) {
 	is := is.New(t)
 	for gateway := range 3 {
 		table := enginesWith(t, 10)
@@ -67,7 +66,7 @@
 			table.Began(now, c)
 			table.Ended(now, c, Completed, Answer{})
 		}
-		is.True(away >= 16) // 10 by chance
+		is.True(away >= 16) // expected by chance: 10
 		one := enginesWith(t, 1)
 		_, ok := one.Pick(t0, chat(1))
 		is.True(ok)
@@ -76,8 +75,8 @@
 	}
 }
 
-// Pools without tight streams have no such order.
-func TestNothingSettlesWithoutTightStreams(t *testing.T) {
+// Pools without tight streams have no position costs.
+func TestNoPositionCostWithoutTightStreams(t *testing.T) {
 	is := is.New(t)
 	table := enginesWith(t, 4)
 	p := table.pools["p"]
--- a/internal/core/balance/room_test.go
+++ b/internal/core/balance/room_test.go
@@ -8,23 +8,23 @@
 	"github.com/gladegauge/gladegauge/internal/core/occupancy"
 )
 
-// An engine that is nearly full, by the word of all gateways, gets nothing while
-// another one has room, however cheap it looks; when all are full, requests are
-// still sent. Plain services queue by themselves.
+// An engine that is nearly full over all gateways gets no requests while another one has
+// room, however cheap it is; if all are full, requests are still sent. Plain services
+// queue requests themselves.
 func TestFullEngines(t *testing.T) {
 	tests := []struct {
 		name    string
 		engines bool
-		// requests are what other gateways have at each of two upstreams of eight
-		// slots.
+		// requests is the number of requests of other gateways at each of two upstreams
+		// of eight slots.
 		requests [2]int
-		// loaded has a long backlog beside them on the second one.
+		// loaded adds a long prefill backlog at the second one.
 		loaded bool
 		want   map[int]bool
 	}{
 		{"room on both", true, [2]int{2, 2}, false, map[int]bool{0: true, 1: true}},
 		{"one is nearly full", true, [2]int{8, 2}, false, map[int]bool{1: true}},
-		{"one is nearly full, the other reads much", true, [2]int{8, 2}, true, map[int]bool{1: true}},
+		{"one is nearly full, the other has a backlog", true, [2]int{8, 2}, true, map[int]bool{1: true}},
 		{"both are full", true, [2]int{9, 9}, false, map[int]bool{0: true, 1: true}},
 		{"plain services", false, [2]int{8, 8}, false, map[int]bool{0: true, 1: true}},
 	}
@@ -42,10 +42,10 @@
 					loads[u.hash] = occupancy.Load{Requests: tt.requests[i], Unread: 100_000}
 				}
 			}
-			table.OthersHave(t0, pictureOf(loads))
+			table.OthersHave(t0, peerLoadsOf(loads))
 			used := make(map[int]bool)
 			for i := range 40 {
-				// Chats settle at the first engine, long prompts keep away from it.
+				// Chats prefer the first engine, long prompts avoid it.
 				r := chat(i)
 				if i%2 == 1 {
 					r = long(i)
--- a/internal/core/balance/turn_away_test.go
+++ b/internal/core/balance/shed_test.go
@@ -8,28 +8,28 @@
 	"github.com/gladegauge/gladegauge/internal/core/occupancy"
 )
 
-// Who is turned away: only the least urgent, only for a wait that this gateway has
-// seen as well, never after an upstream was tried.
-func TestTurnAway(t *testing.T) {
+// Only requests of the lowest urgency are shed, only for a wait that this gateway has
+// observed as well, and never after an upstream was tried.
+func TestShedding(t *testing.T) {
 	tests := []struct {
 		name string
-		// unread is told of each of two engines.
+		// unread is the backlog that others report for each of two engines.
 		unread [2]int
-		// seen is the wait that the gateway saw, pending one that goes on, in
-		// milliseconds.
+		// seen is a wait that the gateway observed, pending one that is still in
+		// progress, in milliseconds.
 		seen, pending int
 		change        func(r *Request)
-		away          bool
+		shed          bool
 	}{
-		{name: "long waits everywhere", unread: [2]int{80_000, 80_000}, seen: 900, away: true},
-		{name: "one request still waits", unread: [2]int{80_000, 80_000}, pending: 900, away: true},
+		{name: "long waits everywhere", unread: [2]int{80_000, 80_000}, seen: 900, shed: true},
+		{name: "wait in progress", unread: [2]int{80_000, 80_000}, pending: 900, shed: true},
 		{name: "one engine is free", unread: [2]int{80_000, 0}, seen: 900},
-		{name: "the words alone", unread: [2]int{80_000_000, 80_000_000}},
-		{name: "waits that were seen, and are over", seen: 900},
-		{name: "in time", unread: [2]int{20_000, 20_000}, seen: 900},
-		{name: "something is less urgent", unread: [2]int{80_000, 80_000}, seen: 900, change: func(r *Request) { r.Least = false }},
+		{name: "reports of other gateways only", unread: [2]int{80_000_000, 80_000_000}},
+		{name: "observed wait, no backlog any more", seen: 900},
+		{name: "within the target", unread: [2]int{20_000, 20_000}, seen: 900},
+		{name: "not of the lowest urgency", unread: [2]int{80_000, 80_000}, seen: 900, change: func(r *Request) { r.Least = false }},
 		{name: "no target", unread: [2]int{80_000, 80_000}, seen: 900, change: func(r *Request) { r.Target = 0 }},
-		{name: "tried already", unread: [2]int{80_000, 80_000}, seen: 900, change: func(r *Request) { r.Exclude = []string{"i-9"} }},
+		{name: "already tried", unread: [2]int{80_000, 80_000}, seen: 900, change: func(r *Request) { r.Exclude = []string{"i-9"} }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -49,7 +49,7 @@
 			for i, u := range table.pools["p"].members {
 				loads[u.hash] = occupancy.Load{Unread: tt.unread[i]}
 			}
-			table.OthersHave(t0, pictureOf(loads))
+			table.OthersHave(t0, peerLoadsOf(loads))
 			r := long(2)
 			r.Least = true
 			if tt.change != nil {
@@ -57,10 +57,10 @@
 			}
 			before := table.Loads(t0)
 			c, ok := table.Pick(t0, r)
-			is.Equal(ok, !tt.away)
-			is.Equal(c.ComeBack > 0, tt.away)
-			if tt.away {
-				is.Equal(len(table.Loads(t0)), len(before)) // it is not counted
+			is.Equal(ok, !tt.shed)
+			is.Equal(c.ComeBack > 0, tt.shed)
+			if tt.shed {
+				is.Equal(len(table.Loads(t0)), len(before)) // a shed request is not counted
 			}
 		})
 	}
--- a/internal/core/balance/silent_test.go
+++ b/internal/core/balance/silent_test.go
@@ -7,19 +7,19 @@
 	"github.com/matryer/is"
 )
 
-// An upstream that says anything to anybody is not silent, however long one
-// request waits there; one that has said nothing since the choice is.
+// An upstream that sends data for any request is not silent, however long one request
+// waits there; one that has sent nothing since the choice is.
 func TestSilentFor(t *testing.T) {
 	tests := []struct {
 		name string
-		// heard are the times of its words, in milliseconds from the start; the
+		// heard are the times at which it sent data, in milliseconds from the start; the
 		// request was sent at 100.
 		heard []int
 		want  time.Duration
 	}{
-		{"nothing, ever", nil, 900 * time.Millisecond},
+		{"no data at all", nil, 900 * time.Millisecond},
 		{"only before the request", []int{50}, 900 * time.Millisecond},
-		{"to another request since", []int{50, 700}, 300 * time.Millisecond},
+		{"for another request since", []int{50, 700}, 300 * time.Millisecond},
 		{"just now", []int{700, 1000}, 0},
 	}
 	for _, tt := range tests {
@@ -46,8 +46,8 @@
 	}
 }
 
-// An upstream that left the list is as silent as it was.
-func TestSilentAfterItLeft(t *testing.T) {
+// An upstream that is no longer listed remains as silent as it was.
+func TestSilentForAfterRemoval(t *testing.T) {
 	is := is.New(t)
 	table := tableWith(1)
 	c, _ := table.Pick(at(100), plainRequest(1))
--- a/internal/core/balance/start_test.go
+++ b/internal/core/balance/start_test.go
@@ -9,9 +9,10 @@
 	"github.com/gladegauge/gladegauge/internal/core/occupancy"
 )
 
-// An upstream starts again under the identity that it had. It holds and knows nothing of
-// before, and nothing that was found, told or late of the start before counts for it.
-func TestNewStartUnderItsIdentity(t *testing.T) {
+// An upstream restarts with the same ID. The new incarnation has no requests and an empty
+// cache, and failures, reports and late results of the previous one do not count against
+// it.
+func TestNewIncarnationWithSameID(t *testing.T) {
 	now := time.Unix(1000, 0)
 	first := Instance{ID: "a", Address: "1:1", Zone: "a", Pool: "p", Slots: 8, Born: 1}
 	second := first
@@ -19,24 +20,24 @@
 	prompt := Prompt{Model: 1, Tokens: 9000, Parts: []Part{{ID: 5, Tokens: 9000}}}
 	tests := []struct {
 		name string
-		// before happens at the first start with a request there, late after the second
+		// before runs while the first incarnation has a request, late after the second
 		// one is listed.
 		before, late func(table *Table, c Choice)
 	}{
-		{"it was found ended", func(table *Table, c Choice) { table.Ended(now, c, Dead, Answer{}) }, nil},
-		{"its end is found late", nil, func(table *Table, c Choice) { table.FoundGone(now, c.Instance) }},
-		{"it was ejected", func(table *Table, c Choice) {
+		{"found ended", func(table *Table, c Choice) { table.Ended(now, c, Dead, Answer{}) }, nil},
+		{"found ended late", nil, func(table *Table, c Choice) { table.FoundGone(now, c.Instance) }},
+		{"ejected before the restart", func(table *Table, c Choice) {
 			table.Ended(now, c, Broken, Answer{})
 			for range 9 {
 				c, _ = table.Pick(now, Request{Pool: "p"})
 				table.Ended(now, c, Broken, Answer{})
 			}
 		}, nil},
-		{"its requests end late", nil, func(table *Table, c Choice) { table.Ended(now, c, Dead, Answer{}) }},
-		{"others found it ended", nil, func(table *Table, c Choice) {
+		{"requests end late", nil, func(table *Table, c Choice) { table.Ended(now, c, Dead, Answer{}) }},
+		{"found ended by other gateways", nil, func(table *Table, c Choice) {
 			table.OthersHave(now, Picture{Loads: occupancy.Loads{c.Start(): {Gone: 5}}, Keep: time.Minute, Gateways: 9})
 		}},
-		{"it had read the prompt", func(table *Table, c Choice) { table.Began(now, c); table.Ended(now, c, Completed, Answer{}) }, nil},
+		{"prompt cached", func(table *Table, c Choice) { table.Began(now, c); table.Ended(now, c, Completed, Answer{}) }, nil},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -58,7 +59,7 @@
 			is.Equal(next.Born, int64(2))
 			is.Equal(next.Unread, 9000)
 			is.Equal(next.InFlight, 0.0)
-			is.True(!table.SetInstances(now, []Instance{second}).Any()) // the same start
+			is.True(!table.SetInstances(now, []Instance{second}).Any()) // the same incarnation
 		})
 	}
 }
--- a/internal/core/balance/throttle_test.go
+++ b/internal/core/balance/throttle_test.go
@@ -6,28 +6,28 @@
 	"github.com/matryer/is"
 )
 
-// An upstream that turns requests away for too many of them is left out, but for those of
-// an organisation that most of the pool turns away: it has nothing left out by sending more
-// than it may. Others that were left out before that was seen are back in a moment.
-func TestThrottledAsEvidence(t *testing.T) {
+// An upstream that throttles requests is excluded, unless most of the pool throttles the
+// same organisation: an organisation must not get upstreams excluded by exceeding its
+// limit. Upstreams excluded before that was detected return after a moment.
+func TestThrottle(t *testing.T) {
 	const x, y = 1, 2
 	type refusal struct {
-		// of is the number of the upstream.
+		// of is the index of the upstream.
 		of           int
 		organisation uint64
 	}
 	tests := []struct {
 		name     string
 		refusals []refusal
-		// out is whether the last of them counts.
+		// out is whether the last refusal counts against the upstream.
 		out bool
 	}{
 		{"once", []refusal{{0, x}}, true},
-		{"one upstream, again and again", []refusal{{0, x}, {0, x}, {0, x}}, true},
+		{"one upstream repeatedly", []refusal{{0, x}, {0, x}, {0, x}}, true},
 		{"half of the pool", []refusal{{0, x}, {1, x}}, true},
 		{"most of the pool", []refusal{{0, x}, {1, x}, {2, x}}, false},
-		{"all of it, again and again", []refusal{{0, x}, {1, x}, {2, x}, {3, x}, {0, x}}, false},
-		{"somebody else", []refusal{{0, x}, {1, x}, {2, x}, {3, x}, {3, y}}, true},
+		{"all of the pool repeatedly", []refusal{{0, x}, {1, x}, {2, x}, {3, x}, {0, x}}, false},
+		{"another organisation", []refusal{{0, x}, {1, x}, {2, x}, {3, x}, {3, y}}, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -48,8 +48,8 @@
 	}
 }
 
-// What was found of an organisation is forgotten.
-func TestThrottledIsForgotten(t *testing.T) {
+// A throttled organisation is forgotten after throttleTTL.
+func TestThrottleExpires(t *testing.T) {
 	is := is.New(t)
 	table := tableWith(2)
 	members := table.pools["p"].members
