--- a/internal/core/balance/bench_test.go
+++ b/internal/core/balance/bench_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// BenchmarkOthersHave measures an update of the load of all other gateways.
-func BenchmarkOthersHave(b *testing.B) {
+// BenchmarkSetPeerLoads measures an update of the load of all other gateways.
+func BenchmarkSetPeerLoads(b *testing.B) {
 	for _, n := range []int{53, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			table := tableWith(n)
--- a/internal/core/balance/cost.go
+++ b/internal/core/balance/cost.go
@@ -7,17 +7,17 @@
 	// zoneCost is the penalty of an upstream in another availability zone; the round trip
 	// between zones takes about a millisecond.
 	zoneCost = 2.0
-	// readWeight weights the time to prefill the prompt. It is above 1 because prefill
+	// prefillWeight weights the time to prefill the prompt. It is above 1 because prefill
 	// delays other requests at the engine as well.
-	readWeight = 2.0
+	prefillWeight = 2.0
 	// relaxedTarget is the first-event target above which a wait is weighted less, in
 	// inverse proportion to the target; minWaitWeight is the lower bound of that weight.
 	// A request that can wait thus stays with the engine that has its prompt cached.
 	relaxedTarget = 400 * time.Millisecond
 	minWaitWeight = 0.3
-	// harmWeight is the cost of a millisecond of prefill for each tight stream of any
+	// interferenceWeight is the cost of a millisecond of prefill for each tight stream of any
 	// gateway at the engine.
-	harmWeight = 0.12
+	interferenceWeight = 0.12
 	// slotCost is the cost of one more request in a batch.
 	slotCost = 0.6
 	// sharingFactor is the relative increase of a request's duration at a plain service
@@ -40,18 +40,18 @@
 	reading := float64(c.Unread) / perMs
 	backlog := float64(u.unread(now, p.speed.tokensPerMs())) / perMs
 	c.Wait = backlog
-	cost := waitWeight(r.Target)*backlog + readWeight*reading + slotCost*c.InFlight
+	cost := waitWeight(r.Target)*backlog + prefillWeight*reading + slotCost*c.InFlight
 	if slots := float64(u.Slots); slots > 0 && c.InFlight >= slots {
 		// Beyond its slots a request waits for another one to end.
 		cost += u.latency.estimateMs(now, baseline.latencyMs) * (c.InFlight + 1 - slots) / slots
 	}
-	cost += readWeight * p.overflow(now, u, r) / perMs
+	cost += prefillWeight * p.overflow(now, u, r) / perMs
 	cost += overdueWeight * u.meanOverdue(now)
 	cost += p.positionCost(now, u, r.Tier, tight)
 	if tight {
 		cost += gapMissCost * u.gapMissRisk(now, r.Pause)
 	} else {
-		cost += harmWeight * p.gapTargets.yield(r.Tier) * reading * float64(u.tight(now, p.gapTargets.tightLimit))
+		cost += interferenceWeight * p.gapTargets.yield(r.Tier) * reading * float64(u.tight(now, p.gapTargets.tightLimit))
 	}
 	return cost
 }
--- a/internal/core/balance/gap_risk_test.go
+++ b/internal/core/balance/gap_risk_test.go
@@ -14,11 +14,11 @@
 func TestGapMissRisk(t *testing.T) {
 	pause := 250 * time.Millisecond
 	tests := []struct {
-		name    string
-		longest []time.Duration
-		told    occupancy.Load
-		min     float64
-		max     float64
+		name     string
+		longest  []time.Duration
+		peerLoad occupancy.Load
+		min      float64
+		max      float64
 	}{
 		{"nothing known", nil, occupancy.Load{}, 0, 0},
 		{"short gaps", []time.Duration{100 * time.Millisecond, 120 * time.Millisecond}, occupancy.Load{}, 0, 0},
@@ -32,7 +32,7 @@
 			is := is.New(t)
 			table := enginesWith(t, 1)
 			u := table.pools["p"].members[0]
-			table.OthersHave(t0, peerLoadsOf(occupancy.Loads{u.hash: tt.told}))
+			table.OthersHave(t0, peerLoadsOf(occupancy.Loads{u.hash: tt.peerLoad}))
 			for i, d := range tt.longest {
 				c, ok := table.Pick(at(i), chat(i))
 				is.True(ok)
--- a/internal/core/balance/gone.go
+++ b/internal/core/balance/gone.go
@@ -17,8 +17,8 @@
 	maxAvoidedShare = 0.5
 )
 
-// gone reports whether this gateway found that another incarnation has taken the
-// upstream's place or that nothing listens at its address.
+// gone reports whether, by the list or by this gateway's own observation, another
+// incarnation has taken the upstream's place or nothing listens at its address.
 func (u *upstream) gone(now time.Time) bool {
 	return u.superseded || now.Before(u.goneUntil)
 }
--- a/internal/core/balance/hanging.go
+++ b/internal/core/balance/hanging.go
@@ -3,8 +3,8 @@
 import "time"
 
 // An upstream may let most requests hang. Their callers leave, so no request fails; the
-// upstream then looks idle and attracts the next requests, in waves as long as the
-// callers' patience.
+// upstream then looks idle and attracts the next requests, in waves spaced by the time
+// that callers wait.
 //
 // A hanging prompt counts as a failed request for votes and trials. Ejection depends on
 // answers only, as a long wait may be caused by the request itself. Two cases are not
--- a/internal/core/balance/health.go
+++ b/internal/core/balance/health.go
@@ -28,9 +28,9 @@
 
 // noteRefusal skips the upstream for a while. Otherwise an upstream that refuses requests
 // looks idle and attracts those of its pool.
-func (t *Table) noteRefusal(now time.Time, u *upstream, r *run, said *Load) {
+func (t *Table) noteRefusal(now time.Time, u *upstream, r *run, reported *Load) {
 	p := t.pool(u.Pool)
-	next, d := u.health.WithRefusal(now, said.isFull() || p.refusalJustified(now, u, r))
+	next, d := u.health.WithRefusal(now, reported.isFull() || p.refusalJustified(now, u, r))
 	u.health = next
 	if p.mayEject(now) {
 		u.health = u.health.WithLeftOut(now, d)
@@ -42,8 +42,8 @@
 // the request had waited in its queue, or the request had hardly any time left. Without
 // this check one caller with such requests could have upstreams ejected.
 func (p *pool) refusalJustified(now time.Time, u *upstream, r *run) bool {
-	hasty := !r.deadline.IsZero() && r.deadline.Sub(now) < minTimeLeft
-	return hasty || now.Sub(r.sentAt) > immediateRefusal || p.isFull(now, u, r.tokens)
+	shortDeadline := !r.deadline.IsZero() && r.deadline.Sub(now) < minTimeLeft
+	return shortDeadline || now.Sub(r.sentAt) > immediateRefusal || p.isFull(now, u, r.tokens)
 }
 
 // isFull reports whether the upstream is full or has no memory for a request of so many
--- a/internal/core/balance/limited_test.go
+++ b/internal/core/balance/limited_test.go
@@ -126,13 +126,13 @@
 	table := tableWith(1)
 	table.holds = func(time.Time, uint64, int) bool { return false }
 	incarnation := table.pools["p"].members[0].incarnation
-	told := 0
+	reported := 0
 	for ms := 0; ms < 5000; ms += 100 {
 		l := occupancy.Load{}.WithLimit(float64(1 + ms/100%2))
 		d := table.OthersHave(at(ms), Picture{Loads: occupancy.Loads{incarnation: l}, Keep: 700 * time.Millisecond, Gateways: 9})
-		told += len(d.Limited)
+		reported += len(d.Limited)
 	}
-	is.Equal(told, 5)
+	is.Equal(reported, 5)
 	d := table.OthersHave(at(5000), Picture{Keep: 700 * time.Millisecond, Gateways: 9})
 	is.Equal(len(d.Limited), 1)
 	is.True(!d.Limited[0].Named)
--- a/internal/core/balance/peers.go
+++ b/internal/core/balance/peers.go
@@ -32,7 +32,7 @@
 	// Limited lists those whose rate limit changed by reports of other gateways. While
 	// the reports differ, each upstream is listed at most once per limitReportInterval.
 	Limited []Limited
-	// Spoken is true if a rate limit of any upstream is or was reported: such reports are
+	// Spoken is true if a rate limit of any upstream is or was reported. Such reports are
 	// valid only for a moment, so the state must be published again.
 	Spoken bool
 }
@@ -47,15 +47,15 @@
 	Votes notice.LimitVotes
 }
 
-// OthersHave replaces the load of other gateways. An upstream that is not in the picture
-// has none. It returns the resulting state changes.
+// OthersHave replaces the load of other gateways. An upstream that is not in p has none.
+// It returns the resulting state changes.
 func (t *Table) OthersHave(now time.Time, p Picture) Doubts {
 	var d Doubts
 	t.peersAt, t.peersAge, t.gateways = now, p.Age, max(p.Gateways, 1)
-	told, until := now.Add(-p.Age), now.Add(p.Keep)
+	reportedAt, until := now.Add(-p.Age), now.Add(p.Keep)
 	for _, of := range t.pools {
 		for _, u := range of.members {
-			u.peerLoad, u.peerLoadAt, u.peerLoadUntil = p.Loads[u.incarnation], told, until
+			u.peerLoad, u.peerLoadAt, u.peerLoadUntil = p.Loads[u.incarnation], reportedAt, until
 			t.applyLimitVotes(now, u, &d)
 			if len(u.running) > 0 {
 				d.Hanging = append(d.Hanging, of.noteHanging(now, u)...)
--- a/internal/core/balance/speed.go
+++ b/internal/core/balance/speed.go
@@ -5,9 +5,9 @@
 // The estimate of an engine's prefill speed follows fast samples quickly and slow ones
 // slowly, as queueing only ever makes an engine look slow.
 const (
-	// defaultReading is the speed, in prompt tokens per millisecond, that is assumed
+	// defaultPrefillSpeed is the speed, in prompt tokens per millisecond, that is assumed
 	// until prompts have been read.
-	defaultReading = 40.0
+	defaultPrefillSpeed = 40.0
 	// minSpeedSample is the minimum size of a prompt, in tokens, for it to be a useful
 	// sample.
 	minSpeedSample = 1500
@@ -22,15 +22,15 @@
 
 // speed is the prefill speed that the engines of a pool have in common.
 type speed struct {
-	reading float64
+	prefill float64
 }
 
 // tokensPerMs returns the prefill speed.
 func (s *speed) tokensPerMs() float64 {
-	if s.reading == 0 {
-		return defaultReading
+	if s.prefill == 0 {
+		return defaultPrefillSpeed
 	}
-	return s.reading
+	return s.prefill
 }
 
 // learn records the time from sending a prompt to its first event.
@@ -43,7 +43,7 @@
 	if sample > s.tokensPerMs() {
 		weight = riseWeight
 	}
-	s.reading = s.tokensPerMs() + weight*(sample-s.tokensPerMs())
+	s.prefill = s.tokensPerMs() + weight*(sample-s.tokensPerMs())
 }
 
 // sampleTTL is the age at which measurements of an upstream are ignored. An upstream that
--- a/internal/core/balance/table.go
+++ b/internal/core/balance/table.go
@@ -45,7 +45,7 @@
 	Instance
 	// hash is the hash of its ID. Decisions on which gateways agree without communication
 	// are derived from it, so that they also agree while only some of them know of a new
-	// incarnation. Load exchanged between gateways is keyed by incarnation.
+	// incarnation. incarnation is the key by which gateways exchange load reports.
 	hash        uint64
 	incarnation uint64
 	// position is its relative position in the order of its pool, from 0 up to 1.
