--- a/internal/core/balance/alone_test.go
+++ b/internal/core/balance/alone_test.go
@@ -26,7 +26,7 @@
 			table.Ended(now, c, Completed, Answer{})
 		}
 	}
-	c, ok := table.Pick(now, Request{Pool: "p", Prompt: shared, Alone: true, Protect: true})
+	c, ok := table.Pick(now, Request{Pool: "p", Prompt: shared, Isolate: true, Protect: true})
 	is.True(ok)
 	is.Equal(c.ID, "idle")
 	is.Equal(c.FetchFrom, "")
@@ -41,10 +41,10 @@
 	table.SetInstances(time.Unix(1000, 0), []Instance{
 		{ID: "ready", Pool: "p"}, {ID: "leaving", Pool: "p", Leaving: true}, {ID: "evacuated", Pool: "p", Evacuated: true},
 	})
-	is.True(!table.Leaves("ready"))
-	is.True(table.Leaves("leaving"))
-	is.True(table.Leaves("evacuated"))
-	is.True(table.Leaves("gone from the list"))
+	is.True(!table.EndExpected("ready"))
+	is.True(table.EndExpected("leaving"))
+	is.True(table.EndExpected("evacuated"))
+	is.True(table.EndExpected("gone from the list"))
 }
 
 // Two incarnations with the same ID have different keys.
--- a/internal/core/balance/backup_test.go
+++ b/internal/core/balance/backup_test.go
@@ -63,7 +63,7 @@
 	for i, u := range p.members {
 		loads[u.hash] = occupancy.Load{Requests: 10 - i}
 	}
-	table.OthersHave(t0, peerLoadsOf(loads))
+	table.SetPeerLoads(t0, peerLoadsOf(loads))
 	idlest := p.members[3]
 	is.Equal(backupFor(at(1), p.members[0], p.members, Request{}).ID, idlest.ID)
 	is.Equal(backupFor(at(1), idlest, p.members, Request{}).ID, p.members[2].ID) // never the chosen engine
--- a/internal/core/balance/balance_test.go
+++ b/internal/core/balance/balance_test.go
@@ -171,7 +171,7 @@
 func TestPeerLoadEstimate(t *testing.T) {
 	is := is.New(t)
 	table := tableWith(2)
-	table.Reported(t0, "i-0", Load{Running: 8, Waiting: 8, Slots: 8})
+	table.SetLoad(t0, "i-0", Load{Running: 8, Waiting: 8, Slots: 8})
 	c, _ := table.Pick(at(1), plainRequest(1))
 	is.Equal(c.ID, "i-1")
 	u := table.upstreams["i-0"]
@@ -213,7 +213,7 @@
 		table := enginesWith(t, 5)
 		used := make(map[string]bool)
 		for i := range 6 {
-			r := Request{Pool: "p", Route: "long", Pause: time.Second, Target: target, Prompt: prompt(1, uint64(i))}
+			r := Request{Pool: "p", Route: "long", TargetGap: time.Second, Target: target, Prompt: prompt(1, uint64(i))}
 			c, _ := table.Pick(at(i), r)
 			used[c.ID] = true
 		}
--- a/internal/core/balance/bench_test.go
+++ b/internal/core/balance/bench_test.go
@@ -21,7 +21,7 @@
 				loads[list[i].Start()] = occupancy.Load{Requests: 3, Served: 2}
 			}
 			table.SetInstances(t0, list)
-			table.OthersHave(t0, peerLoadsOf(loads))
+			table.SetPeerLoads(t0, peerLoadsOf(loads))
 			b.ReportAllocs()
 			for i := range b.N {
 				c, ok := table.Pick(at(1), plainRequest(i*7919))
@@ -48,7 +48,7 @@
 			ms := 0
 			for b.Loop() {
 				ms += 100
-				table.OthersHave(at(ms), peerLoadsOf(loads))
+				table.SetPeerLoads(at(ms), peerLoadsOf(loads))
 			}
 		})
 	}
--- a/internal/core/balance/busy_test.go
+++ b/internal/core/balance/busy_test.go
@@ -42,7 +42,7 @@
 			}
 			is.True(!table.Busy(t0))
 			now := t0.Add(time.Second)
-			table.OthersHave(now, Picture{Loads: loads, Age: 100 * time.Millisecond, Keep: time.Second, Gateways: 40})
+			table.SetPeerLoads(now, PeerLoads{Loads: loads, Age: 100 * time.Millisecond, Keep: time.Second, Gateways: 40})
 			is.Equal(table.Busy(now.Add(time.Millisecond)), tt.busy)
 		})
 	}
--- a/internal/core/balance/cache_test.go
+++ b/internal/core/balance/cache_test.go
@@ -32,8 +32,8 @@
 					n := uint64(s*perSecond + i)
 					parts[i] = occupancy.Part{Upstream: list[n%uint64(engines)].Start(), Key: n, Tokens: 100, Read: true}
 				}
-				table.OthersRead(now, parts)
-				table.ForgetParts(now)
+				table.AddPeerParts(now, parts)
+				table.ExpireParts(now)
 			}
 			kept := 0
 			for _, u := range table.upstreams {
--- a/internal/core/balance/cost.go
+++ b/internal/core/balance/cost.go
@@ -35,7 +35,7 @@
 
 // engineCost is the cost at a model engine.
 func (p *pool) engineCost(now time.Time, u *upstream, r Request, c *Choice, baseline baseline) float64 {
-	tight := p.gapTargets.isTight(r.Pause)
+	tight := p.gapTargets.isTight(r.TargetGap)
 	perMs := p.speed.tokensPerMs() / u.slowness(now, baseline.gaps, tight)
 	reading := float64(c.Unread) / perMs
 	backlog := float64(u.unread(now, p.speed.tokensPerMs())) / perMs
@@ -49,7 +49,7 @@
 	cost += overdueWeight * u.meanOverdue(now)
 	cost += p.positionCost(now, u, r.Tier, tight)
 	if tight {
-		cost += gapMissCost * u.gapMissRisk(now, r.Pause)
+		cost += gapMissCost * u.gapMissRisk(now, r.TargetGap)
 	} else {
 		cost += interferenceWeight * p.gapTargets.yield(r.Tier) * reading * float64(u.tight(now, p.gapTargets.tightLimit))
 	}
--- a/internal/core/balance/doc.go
+++ b/internal/core/balance/doc.go
@@ -36,8 +36,8 @@
 //	t := balance.New(zone)
 //	t.SetInstances(now, instances)
 //	c, ok := t.Pick(now, balance.Request{Pool: "judge", Prompt: prompt})
-//	if c.ComeBack > 0 {
-//		refuse(c.ComeBack)
+//	if c.RetryAfter > 0 {
+//		refuse(c.RetryAfter)
 //	}
 //	// c.FetchFrom and c.Backup name the engines of its copies
 //	t.Began(now, c) // the response head or the first event arrived
--- a/internal/core/balance/gap_risk_test.go
+++ b/internal/core/balance/gap_risk_test.go
@@ -32,7 +32,7 @@
 			is := is.New(t)
 			table := enginesWith(t, 1)
 			u := table.pools["p"].members[0]
-			table.OthersHave(t0, peerLoadsOf(occupancy.Loads{u.hash: tt.peerLoad}))
+			table.SetPeerLoads(t0, peerLoadsOf(occupancy.Loads{u.hash: tt.peerLoad}))
 			for i, d := range tt.longest {
 				c, ok := table.Pick(at(i), chat(i))
 				is.True(ok)
--- a/internal/core/balance/gap_targets_test.go
+++ b/internal/core/balance/gap_targets_test.go
@@ -14,13 +14,13 @@
 // chat is a tight stream with a small private prompt.
 func chat(i int) Request {
 	own := Part{ID: uint64(50_000 + i), Tokens: 500}
-	return Request{Pool: "p", Route: "chat", Pause: 250 * time.Millisecond, Target: 300 * time.Millisecond,
+	return Request{Pool: "p", Route: "chat", TargetGap: 250 * time.Millisecond, Target: 300 * time.Millisecond,
 		Hash: uint64(i), Prompt: Prompt{Model: 1, Tokens: 500, OutputHint: 100, Parts: []Part{own}}}
 }
 
 // long is a stream with a long prompt on one of twenty subjects.
 func long(i int) Request {
-	return Request{Pool: "p", Route: "long", Pause: time.Second, Target: time.Second, Tier: 1,
+	return Request{Pool: "p", Route: "long", TargetGap: time.Second, Target: time.Second, Tier: 1,
 		Hash: uint64(i), Prompt: prompt(uint64(i%20), uint64(i))}
 }
 
@@ -43,7 +43,7 @@
 			beside := 0
 			for i := range 40 {
 				now := at(20 * i)
-				table.OthersHave(now, peerLoadsOf(loads))
+				table.SetPeerLoads(now, peerLoadsOf(loads))
 				c, ok := table.Pick(now, long(i))
 				is.True(ok)
 				table.Began(at(20*i+15), c)
--- a/internal/core/balance/gaps_test.go
+++ b/internal/core/balance/gaps_test.go
@@ -91,7 +91,7 @@
 		}
 		a.Heard(at(1), u.ID, gaps)
 	}
-	b.OthersHave(at(2), peerLoadsOf(a.Loads(at(2))))
+	b.SetPeerLoads(at(2), peerLoadsOf(a.Loads(at(2))))
 	for i := range 10 {
 		c, _ := b.Pick(at(3), long(i))
 		is.True(c.ID != slow.ID || i > 5)
@@ -107,9 +107,9 @@
 	is.Equal(u.meanOverdue(at(50)), 0.0)
 	late := u.meanOverdue(at(1000))
 	is.True(late > 500)
-	table.OthersHave(at(1000), peerLoadsOf(occupancy.Loads{u.hash: {Overdue: 1, OverdueMs: 1e12}}))
+	table.SetPeerLoads(at(1000), peerLoadsOf(occupancy.Loads{u.hash: {Overdue: 1, OverdueMs: 1e12}}))
 	is.Equal(u.meanOverdue(at(1000)), (late+maxOverdueMs)/2) // the contribution of a report is bounded
-	table.OthersHave(at(1000), peerLoadsOf(nil))
+	table.SetPeerLoads(at(1000), peerLoadsOf(nil))
 	table.Began(at(1001), c)
 	is.Equal(u.meanOverdue(at(1001)), 0.0)
 }
--- a/internal/core/balance/gone.go
+++ b/internal/core/balance/gone.go
@@ -23,9 +23,9 @@
 	return u.superseded || now.Before(u.goneUntil)
 }
 
-// FoundGone records that the gateway found that this incarnation of the upstream has
+// MarkGone records that the gateway found that this incarnation of the upstream has
 // ended.
-func (t *Table) FoundGone(now time.Time, in Instance) {
+func (t *Table) MarkGone(now time.Time, in Instance) {
 	if u, ok := t.upstreams[in.ID]; ok && u.incarnation == in.Start() {
 		u.goneUntil = now.Add(goneTTL)
 	}
@@ -38,9 +38,9 @@
 	return ok && u.incarnation == in.Start() && u.gone(now)
 }
 
-// Leaves reports whether the end of the upstream is expected: it announced that it
+// EndExpected reports whether the end of the upstream is expected: it announced that it
 // leaves, its availability zone is being emptied, or it is no longer listed.
-func (t *Table) Leaves(id string) bool {
+func (t *Table) EndExpected(id string) bool {
 	u, ok := t.upstreams[id]
 	return !ok || !u.open()
 }
--- a/internal/core/balance/gone_test.go
+++ b/internal/core/balance/gone_test.go
@@ -67,7 +67,7 @@
 					u.heard(at(-tt.heard))
 				}
 			}
-			table.OthersHave(t0, peerLoadsOf(loads))
+			table.SetPeerLoads(t0, peerLoadsOf(loads))
 			used := make(map[string]bool)
 			now := t0.Add(tt.later)
 			for i := range 60 {
@@ -85,10 +85,10 @@
 	is := is.New(t)
 	table := enginesWith(t, 4)
 	b := Backup{ID: "i-2"}
-	table.OthersHave(t0, peerLoadsOf(occupancy.Loads{table.upstreams["i-2"].hash: {Gone: 2}}))
+	table.SetPeerLoads(t0, peerLoadsOf(occupancy.Loads{table.upstreams["i-2"].hash: {Gone: 2}}))
 	_, ok := table.Continue(at(1), chat(1), b)
 	is.True(!ok)
-	table.OthersHave(at(2), peerLoadsOf(nil))
+	table.SetPeerLoads(at(2), peerLoadsOf(nil))
 	_, ok = table.Continue(at(3), chat(1), b)
 	is.True(ok)
 }
--- a/internal/core/balance/hanging_test.go
+++ b/internal/core/balance/hanging_test.go
@@ -21,7 +21,7 @@
 		at int
 		do func(table *Table, c Choice, now time.Time)
 	}
-	look := func(table *Table, _ Choice, now time.Time) { table.OthersHave(now, peerLoadsOf(nil)) }
+	look := func(table *Table, _ Choice, now time.Time) { table.SetPeerLoads(now, peerLoadsOf(nil)) }
 	leaves := func(table *Table, c Choice, now time.Time) { table.Ended(now, c, Abandoned, Answer{}) }
 	begins := func(table *Table, c Choice, now time.Time) { table.Began(now, c) }
 	ends := func(table *Table, c Choice, now time.Time) { table.Ended(now, c, Completed, Answer{}) }
@@ -30,7 +30,7 @@
 		table.Began(now, c)
 	}
 	says := func(l Load) func(table *Table, c Choice, now time.Time) {
-		return func(table *Table, _ Choice, now time.Time) { table.Reported(now, "i-0", l) }
+		return func(table *Table, _ Choice, now time.Time) { table.SetLoad(now, "i-0", l) }
 	}
 	fills := func(table *Table, _ Choice, now time.Time) {
 		for i := range 7 {
@@ -96,7 +96,7 @@
 		_, ok := table.Pick(at(i), chat(i))
 		is.True(ok)
 	}
-	d := table.OthersHave(at(5000), peerLoadsOf(nil))
+	d := table.SetPeerLoads(at(5000), peerLoadsOf(nil))
 	is.Equal(len(d.Hanging), 1)
 	is.Equal(table.upstreams["i-0"].health.Failures(), 1)
 }
@@ -130,7 +130,7 @@
 	for _, u := range table.upstreams {
 		loads[u.incarnation] = occupancy.Load{Failing: 5}
 	}
-	table.OthersHave(t0, peerLoadsOf(loads))
+	table.SetPeerLoads(t0, peerLoadsOf(loads))
 	used := make(map[string]bool)
 	for i := range 60 {
 		c, ok := table.Pick(at(i), chat(i))
--- a/internal/core/balance/lend.go
+++ b/internal/core/balance/lend.go
@@ -12,8 +12,8 @@
 // maxBorrowAsks is the maximum number of upstreams for which a request asks for a turn.
 const maxBorrowAsks = 4
 
-// Loan is an upstream for which a gateway may ask a holder for a turn.
-type Loan struct {
+// BorrowCandidate is an upstream for which a gateway may ask a holder for a turn.
+type BorrowCandidate struct {
 	Instance
 	// Key and Holders identify the holders: the first Holders gateways in the rendezvous
 	// order of Key.
@@ -23,15 +23,15 @@
 
 // Borrowable returns the upstreams for which to ask for a turn, for a request for which
 // Pick found none.
-func (t *Table) Borrowable(now time.Time, r Request) []Loan {
+func (t *Table) Borrowable(now time.Time, r Request) []BorrowCandidate {
 	p, ok := t.pools[r.Pool]
 	if !ok {
 		return nil
 	}
-	var loans []Loan
+	var loans []BorrowCandidate
 	for _, u := range p.members {
 		if t.mayBorrow(now, p, u, r) {
-			loans = append(loans, Loan{Instance: u.Instance, Key: u.hash, Holders: u.limit.split.Holders})
+			loans = append(loans, BorrowCandidate{Instance: u.Instance, Key: u.hash, Holders: u.limit.split.Holders})
 		}
 	}
 	if n := len(loans); n > 0 {
@@ -65,18 +65,18 @@
 	return maxTurnBacklog, false
 }
 
-// NotLent records that a holder will have no turn of the upstream for the given time.
+// BorrowRefused records that a holder will have no turn of the upstream for the given time.
 // Another holder may have one sooner.
-func (t *Table) NotLent(now time.Time, in Instance, wait time.Duration) {
+func (t *Table) BorrowRefused(now time.Time, in Instance, wait time.Duration) {
 	if u, ok := t.upstreams[in.ID]; ok && u.incarnation == in.Start() {
 		holders := max(1, min(u.limit.split.Holders, t.gatewayCount()))
 		u.limit.borrowAgainAt = now.Add(min(wait, maxTurnBacklog) / time.Duration(holders))
 	}
 }
 
-// PickLent counts the request at the upstream for which a holder lent a turn. It returns
+// PickBorrowed counts the request at the upstream for which a holder lent a turn. It returns
 // false if the upstream is no longer available.
-func (t *Table) PickLent(now time.Time, r Request, in Instance) (Choice, bool) {
+func (t *Table) PickBorrowed(now time.Time, r Request, in Instance) (Choice, bool) {
 	u, ok := t.upstreams[in.ID]
 	if !ok || u.incarnation != in.Start() || !u.present(now) || u.gone(now) {
 		return Choice{}, false
@@ -85,6 +85,6 @@
 	c := t.evaluate(now, p, u, r, r.Prompt.chain(), p.baseline(now), false)
 	c.Candidates = 1
 	t.track(now, p, u, r, &c)
-	c.Turn, c.Lent = true, true
+	c.Turn, c.Borrowed = true, true
 	return c, true
 }
--- a/internal/core/balance/lend_test.go
+++ b/internal/core/balance/lend_test.go
@@ -30,11 +30,11 @@
 			wait, ok := holder.Lend(at(ms), l.Start(), false)
 			if !ok {
 				is.True(wait > 0)
-				other.NotLent(at(ms), l.Instance, wait)
+				other.BorrowRefused(at(ms), l.Instance, wait)
 				continue
 			}
-			c, ok := other.PickLent(at(ms), r, l.Instance)
-			is.True(ok && c.Turn && c.Lent)
+			c, ok := other.PickBorrowed(at(ms), r, l.Instance)
+			is.True(ok && c.Turn && c.Borrowed)
 			other.Ended(at(ms), c, Completed, Answer{})
 			lent++
 		}
@@ -70,7 +70,7 @@
 			return plainRequest(1)
 		}, 0},
 		{"refused by a holder a moment ago", func(table *Table, in Instance) Request {
-			table.NotLent(at(1), in, time.Second)
+			table.BorrowRefused(at(1), in, time.Second)
 			return plainRequest(1)
 		}, 0},
 		{"another pool", func(*Table, Instance) Request { return Request{Pool: "q"} }, 0},
--- a/internal/core/balance/limited_test.go
+++ b/internal/core/balance/limited_test.go
@@ -129,11 +129,11 @@
 	reported := 0
 	for ms := 0; ms < 5000; ms += 100 {
 		l := occupancy.Load{}.WithLimit(float64(1 + ms/100%2))
-		d := table.OthersHave(at(ms), Picture{Loads: occupancy.Loads{incarnation: l}, Keep: 700 * time.Millisecond, Gateways: 9})
+		d := table.SetPeerLoads(at(ms), PeerLoads{Loads: occupancy.Loads{incarnation: l}, Keep: 700 * time.Millisecond, Gateways: 9})
 		reported += len(d.Limited)
 	}
 	is.Equal(reported, 5)
-	d := table.OthersHave(at(5000), Picture{Keep: 700 * time.Millisecond, Gateways: 9})
+	d := table.SetPeerLoads(at(5000), PeerLoads{Keep: 700 * time.Millisecond, Gateways: 9})
 	is.Equal(len(d.Limited), 1)
 	is.True(!d.Limited[0].Named)
 }
@@ -145,16 +145,16 @@
 	table := tableWith(1)
 	table.holds = func(time.Time, uint64, int) bool { return false }
 	incarnation := table.pools["p"].members[0].incarnation
-	tell := func(ms int, l occupancy.Load) Doubts {
-		return table.OthersHave(at(ms), Picture{Loads: occupancy.Loads{incarnation: l}, Keep: 700 * time.Millisecond, Gateways: 9})
+	tell := func(ms int, l occupancy.Load) PeerChanges {
+		return table.SetPeerLoads(at(ms), PeerLoads{Loads: occupancy.Loads{incarnation: l}, Keep: 700 * time.Millisecond, Gateways: 9})
 	}
 	d := tell(0, occupancy.Load{}.WithLimit(1))
-	is.True(d.Spoken)
+	is.True(d.LimitsReported)
 	is.Equal(len(d.Limited), 1)
 	is.Equal(table.LimitedUpstreams(), 1)
 	is.Equal(taken(table, 10, 500, false), 0)
 	d = tell(500, occupancy.Load{Free: 2})
-	is.True(d.Spoken)
+	is.True(d.LimitsReported)
 	is.Equal(len(d.Limited), 1)
 	is.True(!d.Limited[0].Named)
 	is.Equal(taken(table, 510, 1000, false), 49)
@@ -209,13 +209,13 @@
 func TestRetryAfterWithoutTurn(t *testing.T) {
 	is := is.New(t)
 	table := limitedTable(2, 1, 1)
-	after, limited := table.ComeBack(at(10), "p", 0)
+	after, limited := table.RetryAfter(at(10), "p", 0)
 	is.True(limited)
 	is.True(after > time.Second && after < 1200*time.Millisecond)
 	latest := func(ms int) time.Duration {
 		most := time.Duration(0)
 		for i := range uint64(rendezvous.Steps) {
-			after, _ := table.ComeBack(at(ms), "p", i)
+			after, _ := table.RetryAfter(at(ms), "p", i)
 			most = max(most, after)
 		}
 		return most
@@ -226,7 +226,7 @@
 	is.True(latest(210) < 6*time.Second)
 	in := table.pools["p"].members[0].Instance
 	table.Notice(at(300), in, notice.Notice{SentAt: at(250)})
-	after, _ = table.ComeBack(at(310), "p", 0)
+	after, _ = table.RetryAfter(at(310), "p", 0)
 	is.Equal(after, time.Duration(0)) // one has no limit
 }
 
--- a/internal/core/balance/load.go
+++ b/internal/core/balance/load.go
@@ -138,8 +138,8 @@
 	return longest
 }
 
-// Reported records the load that came with an answer.
-func (t *Table) Reported(now time.Time, id string, l Load) {
+// SetLoad records the load that came with an answer.
+func (t *Table) SetLoad(now time.Time, id string, l Load) {
 	u, ok := t.upstreams[id]
 	if !ok {
 		return
--- a/internal/core/balance/memory_test.go
+++ b/internal/core/balance/memory_test.go
@@ -35,7 +35,7 @@
 			}
 			u := p.members[0]
 			tt.load.Running += tt.running
-			table.Reported(t0, u.ID, tt.load)
+			table.SetLoad(t0, u.ID, tt.load)
 			is.Equal(p.overflow(t0, u, r) > 0, tt.full)
 		})
 	}
--- a/internal/core/balance/notices.go
+++ b/internal/core/balance/notices.go
@@ -14,30 +14,30 @@
 // gateway's own health checks: while it backs off it counts as absent, and its pool is
 // smaller by it.
 
-// Said is the result of a notice.
-type Said struct {
+// NoticeResult is the result of a notice.
+type NoticeResult struct {
 	// Of is the incarnation that sent the notice, as far as known; the zero value if the
 	// answer came from an incarnation that is not listed at that address.
 	Of Instance
 	// Listed is true if the incarnation is currently listed.
 	Listed bool
 	State  notice.State
-	// Leaves is true if the incarnation announces for the first time that it leaves;
-	// Rests is true if its backoff now ends later.
-	Leaves bool
-	Rests  bool
-	// Limits is true if it changed or withdrew its rate limit.
-	Limits bool
-	// Unreadable is true if the notice contains a value that cannot be parsed and that
-	// differs from the previous one.
-	Unreadable bool
+	// NewlyLeaving is true if the incarnation announces for the first time that it
+	// leaves; BackoffExtended is true if its backoff now ends later.
+	NewlyLeaving    bool
+	BackoffExtended bool
+	// LimitChanged is true if it changed or withdrew its rate limit.
+	LimitChanged bool
+	// NewlyUnreadable is true if the notice contains a value that cannot be parsed and
+	// that differs from the previous one.
+	NewlyUnreadable bool
 }
 
 // Notice processes a notice in the answer to a request that was sent to the upstream.
-func (t *Table) Notice(now time.Time, to Instance, n notice.Notice) Said {
+func (t *Table) Notice(now time.Time, to Instance, n notice.Notice) NoticeResult {
 	of, ok := t.responder(to, n)
 	if !ok {
-		return Said{}
+		return NoticeResult{}
 	}
 	u, listed := t.upstreams[of.ID]
 	if !listed || u.RestartedAs(of) {
@@ -53,15 +53,15 @@
 	return noticeResultOf(u.Instance, true, before, u.notices)
 }
 
-func noticeResultOf(of Instance, listed bool, before, after notice.State) Said {
-	return Said{
-		Of:         of,
-		Listed:     listed,
-		State:      after,
-		Leaves:     after.Leaving() && !before.Leaving(),
-		Rests:      after.RestUntil().After(before.RestUntil()),
-		Limits:     after.Named() != before.Named(),
-		Unreadable: after.Unread() != before.Unread(),
+func noticeResultOf(of Instance, listed bool, before, after notice.State) NoticeResult {
+	return NoticeResult{
+		Of:              of,
+		Listed:          listed,
+		State:           after,
+		NewlyLeaving:    after.Leaving() && !before.Leaving(),
+		BackoffExtended: after.RestUntil().After(before.RestUntil()),
+		LimitChanged:    after.Named() != before.Named(),
+		NewlyUnreadable: after.Unread() != before.Unread(),
 	}
 }
 
--- a/internal/core/balance/parts.go
+++ b/internal/core/balance/parts.go
@@ -17,16 +17,16 @@
 	}
 }
 
-// News returns the parts that have not been announced to other gateways yet, and clears
+// TakeNewParts returns the parts that have not been announced to other gateways yet, and clears
 // them.
-func (t *Table) News() []occupancy.Part {
+func (t *Table) TakeNewParts() []occupancy.Part {
 	newParts := t.newParts
 	t.newParts = nil
 	return newParts
 }
 
-// OthersRead applies the parts that other gateways announced.
-func (t *Table) OthersRead(now time.Time, parts []occupancy.Part) {
+// AddPeerParts applies the parts that other gateways announced.
+func (t *Table) AddPeerParts(now time.Time, parts []occupancy.Part) {
 	if len(parts) == 0 {
 		return
 	}
@@ -45,10 +45,10 @@
 // expireBatches is the number of batches in which the cache models are expired.
 const expireBatches = 8
 
-// ForgetParts removes parts that are no longer assumed to be cached, for one batch of
+// ExpireParts removes parts that are no longer assumed to be cached, for one batch of
 // upstreams per call. Otherwise a gateway would hold, for each engine, all parts that its
 // memory could ever have held.
-func (t *Table) ForgetParts(now time.Time) {
+func (t *Table) ExpireParts(now time.Time) {
 	t.nextExpireBatch = (t.nextExpireBatch + 1) % expireBatches
 	for _, u := range t.upstreams {
 		if u.hash%expireBatches == t.nextExpireBatch {
--- a/internal/core/balance/peers.go
+++ b/internal/core/balance/peers.go
@@ -12,8 +12,8 @@
 // recently enough to count.
 func (u *upstream) hasPeerLoad(now time.Time) bool { return now.Before(u.peerLoadUntil) }
 
-// Picture is the load of all other gateways at the upstreams.
-type Picture struct {
+// PeerLoads is the load of all other gateways at the upstreams.
+type PeerLoads struct {
 	Loads occupancy.Loads
 	// Age is the mean age of the reports on arrival.
 	Age time.Duration
@@ -23,8 +23,8 @@
 	Gateways int
 }
 
-// Doubts lists the upstreams whose state changed with an update from other gateways.
-type Doubts struct {
+// PeerChanges lists the upstreams whose state changed with an update from other gateways.
+type PeerChanges struct {
 	// Outvoted lists those that votes newly put last.
 	Outvoted []Outvoted
 	// Hanging lists those at which a prompt of this gateway newly counts as hanging.
@@ -32,9 +32,9 @@
 	// Limited lists those whose rate limit changed by reports of other gateways. While
 	// the reports differ, each upstream is listed at most once per limitReportInterval.
 	Limited []Limited
-	// Spoken is true if a rate limit of any upstream is or was reported. Such reports are
-	// valid only for a moment, so the state must be published again.
-	Spoken bool
+	// LimitsReported is true if a rate limit of any upstream is or was reported. Such
+	// reports are valid only for a moment, so the state must be published again.
+	LimitsReported bool
 }
 
 // limitReportInterval is the minimum time between two reports of a fluctuating limit.
@@ -47,10 +47,10 @@
 	Votes notice.LimitVotes
 }
 
-// OthersHave replaces the load of other gateways. An upstream that is not in p has none.
-// It returns the resulting state changes.
-func (t *Table) OthersHave(now time.Time, p Picture) Doubts {
-	var d Doubts
+// SetPeerLoads replaces the load of other gateways. An upstream that is not in p has
+// none. It returns the resulting state changes.
+func (t *Table) SetPeerLoads(now time.Time, p PeerLoads) PeerChanges {
+	var d PeerChanges
 	t.peersAt, t.peersAge, t.gateways = now, p.Age, max(p.Gateways, 1)
 	reportedAt, until := now.Add(-p.Age), now.Add(p.Keep)
 	for _, of := range t.pools {
@@ -69,13 +69,13 @@
 }
 
 // applyLimitVotes applies the votes of all gateways on the upstream's rate limit.
-func (t *Table) applyLimitVotes(now time.Time, u *upstream, d *Doubts) {
+func (t *Table) applyLimitVotes(now time.Time, u *upstream, d *PeerChanges) {
 	if !u.notices.SaidLimited() && u.peerLoad.Limited == 0 {
 		return
 	}
 	votes := notice.LimitVotes{Limited: u.peerLoad.Limited, PerSecond: u.peerLoad.Limit(), Free: u.peerLoad.Free}
 	u.notices = u.notices.WithLimitVotes(votes, u.peerLoadUntil)
-	d.Spoken = true
+	d.LimitsReported = true
 	named := u.limit.Named
 	if !t.applyLimit(now, u, initialTurns) {
 		return
--- a/internal/core/balance/peers_test.go
+++ b/internal/core/balance/peers_test.go
@@ -13,8 +13,8 @@
 const peerLoadTTL = 700 * time.Millisecond
 
 // peerLoadsOf returns the load of two other gateways, reported just now.
-func peerLoadsOf(loads occupancy.Loads) Picture {
-	return Picture{Loads: loads, Keep: peerLoadTTL, Gateways: 3}
+func peerLoadsOf(loads occupancy.Loads) PeerLoads {
+	return PeerLoads{Loads: loads, Keep: peerLoadTTL, Gateways: 3}
 }
 
 // pair returns two gateways with the same engines.
@@ -28,17 +28,17 @@
 	is := is.New(t)
 	a, b := pair(t, 2)
 	first, _ := a.Pick(t0, long(1))
-	b.OthersHave(at(1), peerLoadsOf(a.Loads(at(1))))
+	b.SetPeerLoads(at(1), peerLoadsOf(a.Loads(at(1))))
 	next, _ := b.Pick(at(2), long(2))
 	is.True(next.ID != first.ID) // the other engine is free
-	is.Equal(next.ToldAge, time.Millisecond)
+	is.Equal(next.PeerLoadAge, time.Millisecond)
 	u := b.upstreams[first.ID]
 	is.Equal(u.unread(at(2), 0), first.Unread)
 	is.Equal(u.inFlight(at(2)), 1.0)
 	later := at(3).Add(peerLoadTTL)
 	is.Equal(u.unread(later, 0), 0)
 	c, _ := b.Pick(later, long(3))
-	is.True(c.ToldAge < 0)
+	is.True(c.PeerLoadAge < 0)
 }
 
 // An engine that has a part cached according to another gateway is preferred, and used as
@@ -47,20 +47,20 @@
 	is := is.New(t)
 	a, b := pair(t, 6)
 	first, _ := a.Pick(t0, long(1))
-	b.OthersRead(at(1), a.News())
+	b.AddPeerParts(at(1), a.TakeNewParts())
 	keys := long(1).Prompt.chain()
 	engineCache := b.upstreams[first.ID].cache
 	is.Equal(engineCache.kept(at(1), long(1).Prompt, keys[:2]), 6000)
 	is.Equal(engineCache.keptAndRead(at(1), long(1).Prompt, keys[:2]), 0)
 	a.Began(at(200), first)
-	news := a.News()
+	news := a.TakeNewParts()
 	is.Equal(len(news), 2) // the shared parts, not the request's own
-	b.OthersRead(at(201), news)
+	b.AddPeerParts(at(201), news)
 	is.Equal(engineCache.keptAndRead(at(201), long(1).Prompt, keys[:2]), 6000)
 	again, _ := b.Pick(at(202), long(21))
 	is.Equal(again.ID, first.ID)
 	is.Equal(again.Unread, 3000)
-	is.Equal(len(a.News()), 0) // announced only once
+	is.Equal(len(a.TakeNewParts()), 0) // announced only once
 }
 
 // A prompt that was refused, or lost before its first event, does not count as cached.
@@ -88,8 +88,8 @@
 func TestPeerLoadsOfUnknownEngines(t *testing.T) {
 	is := is.New(t)
 	table := enginesWith(t, 2)
-	table.OthersHave(t0, peerLoadsOf(occupancy.Loads{42: {Requests: 1000, Unread: 1 << 20}}))
-	table.OthersRead(t0, []occupancy.Part{{Upstream: 42, Key: 1, Tokens: 100, Read: true}})
+	table.SetPeerLoads(t0, peerLoadsOf(occupancy.Loads{42: {Requests: 1000, Unread: 1 << 20}}))
+	table.AddPeerParts(t0, []occupancy.Part{{Upstream: 42, Key: 1, Tokens: 100, Read: true}})
 	c, ok := table.Pick(at(1), long(1))
 	is.True(ok)
 	is.Equal(c.InFlight, 0.0)
@@ -104,7 +104,7 @@
 	for _, u := range table.upstreams {
 		loads[u.hash] = occupancy.Load{Requests: 1 << 30, Unread: 1 << 30, Tight: 1 << 30, Overdue: 1, OverdueMs: 1e12, Tempos: 1, Tempo: 1e9}
 	}
-	table.OthersHave(t0, peerLoadsOf(loads))
+	table.SetPeerLoads(t0, peerLoadsOf(loads))
 	used := make(map[string]bool)
 	for i := range 60 {
 		c, ok := table.Pick(at(i), long(i))
--- a/internal/core/balance/pick.go
+++ b/internal/core/balance/pick.go
@@ -12,8 +12,8 @@
 type Request struct {
 	Route string
 	Pool  string
-	// Pause is the longest gap between events that the caller tolerates; 0 for any.
-	Pause time.Duration
+	// TargetGap is the longest gap between events that the caller tolerates; 0 for any.
+	TargetGap time.Duration
 	// Tier is the rank of its route; 0 is the highest.
 	Tier int
 	// Target is the target for the time to the first event; 0 for none.
@@ -31,9 +31,9 @@
 	// Least marks a request of the lowest urgency in its pool, which may be shed when the
 	// pool is overloaded.
 	Least bool
-	// Alone requests the upstream where a crash affects the fewest other requests: this
+	// Isolate requests the upstream where a crash affects the fewest other requests: this
 	// request is suspected of having crashed upstreams. Nothing is copied for it.
-	Alone bool
+	Isolate bool
 	// Hash breaks ties.
 	Hash uint64
 }
@@ -59,9 +59,9 @@
 	Candidates int
 	// Wait is the expected wait there before the prompt is read, in milliseconds.
 	Wait float64
-	// ComeBack is positive if the request was shed because the pool is overloaded: it was
+	// RetryAfter is positive if the request was shed because the pool is overloaded: it was
 	// not counted, and the caller may retry after that time.
-	ComeBack time.Duration
+	RetryAfter time.Duration
 	// Standing is true if the pool had a standing queue at that time.
 	Standing bool
 	// Cold is true if the upstream is cold; this gateway is then one of its holders.
@@ -69,13 +69,13 @@
 	// Turn is true if the upstream has a rate limit and the request uses one of its
 	// turns.
 	Turn bool
-	// Lent is true if the turn was lent by another gateway.
-	Lent bool
+	// Borrowed is true if the turn was lent by another gateway.
+	Borrowed bool
 	// Trial is true if the upstream is on trial after failures.
 	Trial bool
-	// ToldAge is the age of the load that other gateways reported for the upstream;
+	// PeerLoadAge is the age of the load that other gateways reported for the upstream;
 	// negative if there is none.
-	ToldAge time.Duration
+	PeerLoadAge time.Duration
 
 	// run identifies the request in the table.
 	run uint64
@@ -114,11 +114,11 @@
 	}
 	best.Candidates = len(compared)
 	best.Trial = chosen.health.OnTrial(now)
-	if best.ComeBack = p.shedDelay(now, chosen, r, best); best.ComeBack > 0 {
+	if best.RetryAfter = p.shedDelay(now, chosen, r, best); best.RetryAfter > 0 {
 		best.Standing = p.queue.Standing()
 		return best, false
 	}
-	if r.Alone {
+	if r.Isolate {
 		t.commit(now, p, chosen, r, &best)
 		return best, true
 	}
@@ -200,18 +200,18 @@
 // evaluate computes the cost of sending the request to the upstream.
 func (t *Table) evaluate(now time.Time, p *pool, u *upstream, r Request, keys []uint64, baseline baseline, home bool) Choice {
 	c := Choice{
-		Instance: u.Instance,
-		InFlight: u.inFlight(now),
-		LoadAge:  -1,
-		ToldAge:  -1,
-		keys:     keys,
-		prompt:   r.Prompt,
+		Instance:    u.Instance,
+		InFlight:    u.inFlight(now),
+		LoadAge:     -1,
+		PeerLoadAge: -1,
+		keys:        keys,
+		prompt:      r.Prompt,
 	}
 	if u.load.known {
 		c.LoadAge = now.Sub(u.load.at)
 	}
 	if u.hasPeerLoad(now) {
-		c.ToldAge = now.Sub(u.peerLoadAt)
+		c.PeerLoadAge = now.Sub(u.peerLoadAt)
 	}
 	c.Unread = unreadTokens(now, u, r.Prompt, keys, home)
 	if r.Prompt.Tokens > 0 {
@@ -223,7 +223,7 @@
 		c.Cost += zoneCost
 	}
 	c.Cost += silenceCost(now, u)
-	if r.Alone {
+	if r.Isolate {
 		c.Cost = c.InFlight
 	}
 	return c
@@ -248,7 +248,7 @@
 	if u.awaitingSince.IsZero() {
 		u.awaitingSince = now
 	}
-	sent := &run{route: r.Route, organisation: r.Organisation, unread: c.Unread, targetGap: r.Pause, lowestPriority: r.Least, sentAt: now, deadline: r.Deadline}
+	sent := &run{route: r.Route, organisation: r.Organisation, unread: c.Unread, targetGap: r.TargetGap, lowestPriority: r.Least, sentAt: now, deadline: r.Deadline}
 	if r.Prompt.Tokens > 0 {
 		sent.expected = float64(u.unread(now, p.speed.tokensPerMs())+c.Unread) / p.speed.tokensPerMs()
 		sent.tokens = p.requestTokens(r)
@@ -256,5 +256,5 @@
 		t.announceParts(u, u.cache.record(now, r.Prompt, c.keys, false))
 	}
 	u.running[c.run] = sent
-	p.sent.of(p.gapTargets.isTight(r.Pause)).note(now)
+	p.sent.of(p.gapTargets.isTight(r.TargetGap)).note(now)
 }
--- a/internal/core/balance/replay_faulty_test.go
+++ b/internal/core/balance/replay_faulty_test.go
@@ -211,7 +211,7 @@
 				for _, u := range table.upstreams {
 					loads[u.incarnation] = occupancy.Load{Failing: 1, Served: tt.served}
 				}
-				table.OthersHave(now, peerLoadsOf(loads))
+				table.SetPeerLoads(now, peerLoadsOf(loads))
 				c, ok := table.Pick(now, plainRequest(i*7919))
 				is.True(ok)
 				if tt.heard {
@@ -251,7 +251,7 @@
 				for i, u := range table.pools["p"].members {
 					loads[u.incarnation] = votes[i]
 				}
-				table.OthersHave(now, peerLoadsOf(loads))
+				table.SetPeerLoads(now, peerLoadsOf(loads))
 			}
 			used := func(now time.Time) int {
 				seen := make(map[string]bool)
--- a/internal/core/balance/replay_limit_test.go
+++ b/internal/core/balance/replay_limit_test.go
@@ -55,13 +55,13 @@
 
 // borrow asks holders for a turn, one after the other, for a request without an engine.
 func (r *replay) borrow(q *replayRequest) {
-	ask := Request{Pool: "p", Route: q.class.name, Pause: q.class.pauseLimit(), Tier: q.class.tier, Target: q.class.target,
+	ask := Request{Pool: "p", Route: q.class.name, TargetGap: q.class.pauseLimit(), Tier: q.class.tier, Target: q.class.target,
 		Prompt: q.prompt, Exclude: q.tried, Hash: r.rng.Uint64(), Least: q.class.tier == 2}
 	r.borrowOf(q, ask, q.gateway.table.Borrowable(r.now, ask))
 }
 
 // borrowOf asks a holder of the first of the loans.
-func (r *replay) borrowOf(q *replayRequest, ask Request, loans []Loan) {
+func (r *replay) borrowOf(q *replayRequest, ask Request, loans []BorrowCandidate) {
 	if len(loans) == 0 {
 		r.turnedAwayByRest(q)
 		return
@@ -73,12 +73,12 @@
 	r.after(borrowMs, func() {
 		wait, ok := holder.table.Lend(r.now, l.Start(), ask.Least)
 		if !ok {
-			q.gateway.table.NotLent(r.now, l.Instance, wait)
+			q.gateway.table.BorrowRefused(r.now, l.Instance, wait)
 			r.borrowOf(q, ask, loans[1:])
 			return
 		}
 		r.lent++
-		if c, ok := q.gateway.table.PickLent(r.now, ask, l.Instance); ok {
+		if c, ok := q.gateway.table.PickBorrowed(r.now, ask, l.Instance); ok {
 			r.sendTo(q, c)
 			return
 		}
--- a/internal/core/balance/replay_rest_test.go
+++ b/internal/core/balance/replay_rest_test.go
@@ -57,7 +57,7 @@
 	r.after(1, func() {
 		g.table.Notice(r.now, c.Instance, notice.Notice{Rest: askedRest})
 		g.table.Ended(r.now, c, Refused, Answer{})
-		left, _ := g.table.ComeBack(r.now, "p", uint64(r.now.UnixNano()))
+		left, _ := g.table.RetryAfter(r.now, "p", uint64(r.now.UnixNano()))
 		r.turnedAway(q, max(refusedComeBack, left))
 	})
 }
--- a/internal/core/balance/replay_world_test.go
+++ b/internal/core/balance/replay_world_test.go
@@ -193,13 +193,13 @@
 
 // send picks an engine for the request and calls it.
 func (r *replay) send(q *replayRequest) {
-	c, ok := q.gateway.table.Pick(r.now, Request{Pool: "p", Route: q.class.name, Pause: q.class.pauseLimit(), Tier: q.class.tier,
+	c, ok := q.gateway.table.Pick(r.now, Request{Pool: "p", Route: q.class.name, TargetGap: q.class.pauseLimit(), Tier: q.class.tier,
 		Target: q.class.target, Deadline: q.came.Add(q.class.patient), Prompt: q.prompt, Exclude: q.tried, Hash: r.rng.Uint64(), Least: q.class.tier == 2})
-	if c.ComeBack > 0 {
-		r.turnedAway(q, c.ComeBack)
+	if c.RetryAfter > 0 {
+		r.turnedAway(q, c.RetryAfter)
 		return
 	}
-	if !ok && c.ComeBack == 0 && r.lends {
+	if !ok && c.RetryAfter == 0 && r.lends {
 		r.borrow(q)
 		return
 	}
@@ -253,7 +253,7 @@
 
 // turnedAwayByRest lets the caller of a request without an upstream come back if all rest.
 func (r *replay) turnedAwayByRest(q *replayRequest) {
-	left, _ := q.gateway.table.ComeBack(r.now, "p", uint64(r.now.UnixNano()))
+	left, _ := q.gateway.table.RetryAfter(r.now, "p", uint64(r.now.UnixNano()))
 	if left == 0 {
 		r.count(q.class, refusedResult)
 		return
@@ -321,7 +321,7 @@
 func (r *replay) tell(i int) {
 	g := r.gateways[i]
 	loads := g.table.Loads(r.now)
-	news := g.table.News()
+	news := g.table.TakeNewParts()
 	r.after(milliseconds(r.lag), func() {
 		for id, l := range g.loads {
 			r.total[id] = minus(r.total[id], l)
@@ -340,7 +340,7 @@
 				others[id] = o
 			}
 		}
-		d := g.table.OthersHave(r.now, Picture{Loads: others, Age: r.lag + r.every/2, Keep: 7 * r.every, Gateways: len(r.gateways)})
+		d := g.table.SetPeerLoads(r.now, PeerLoads{Loads: others, Age: r.lag + r.every/2, Keep: 7 * r.every, Gateways: len(r.gateways)})
 		r.outvoted += len(d.Outvoted)
 		r.hanging += len(d.Hanging)
 		var parts []occupancy.Part
@@ -349,7 +349,7 @@
 				parts = append(parts, r.news[g.heardNews])
 			}
 		}
-		g.table.OthersRead(r.now, parts)
+		g.table.AddPeerParts(r.now, parts)
 	})
 	r.after(milliseconds(r.every), func() { r.tell(i) })
 }
--- a/internal/core/balance/reserve_test.go
+++ b/internal/core/balance/reserve_test.go
@@ -30,7 +30,7 @@
 			is := is.New(t)
 			table := enginesWith(t, 10) // 80 slots, of which tight streams fill a fifth
 			u := table.pools["p"].members[3]
-			table.OthersHave(t0, peerLoadsOf(occupancy.Loads{u.hash: {Tight: tt.streams}}))
+			table.SetPeerLoads(t0, peerLoadsOf(occupancy.Loads{u.hash: {Tight: tt.streams}}))
 			s := table.pools["p"].reserved(t0)
 			is.Equal(s.share, tt.want)
 			is.Equal(s.weight, tt.weight)
--- a/internal/core/balance/retry_after.go
+++ b/internal/core/balance/retry_after.go
@@ -17,11 +17,11 @@
 // maxTurnBacklog is the longest time over which callers that found no turn are spread.
 const maxTurnBacklog = 4 * time.Second
 
-// ComeBack returns the time after which a caller should retry if all available upstreams
+// RetryAfter returns the time after which a caller should retry if all available upstreams
 // of the pool are backing off, are at their slow-start limit, or have no turn: the time
 // until the first of them accepts more, plus jitter. It is 0 if there is any other
 // upstream. isLimited reports that the rate limits are the reason.
-func (t *Table) ComeBack(now time.Time, pool string, hash uint64) (after time.Duration, isLimited bool) {
+func (t *Table) RetryAfter(now time.Time, pool string, hash uint64) (after time.Duration, isLimited bool) {
 	p, ok := t.pools[pool]
 	if !ok {
 		return 0, false
--- a/internal/core/balance/room_test.go
+++ b/internal/core/balance/room_test.go
@@ -42,7 +42,7 @@
 					loads[u.hash] = occupancy.Load{Requests: tt.requests[i], Unread: 100_000}
 				}
 			}
-			table.OthersHave(t0, peerLoadsOf(loads))
+			table.SetPeerLoads(t0, peerLoadsOf(loads))
 			used := make(map[int]bool)
 			for i := range 40 {
 				// Chats prefer the first engine, long prompts avoid it.
--- a/internal/core/balance/sample_test.go
+++ b/internal/core/balance/sample_test.go
@@ -41,7 +41,7 @@
 			now := t0
 			for range 5 * tt.perS {
 				now = now.Add(time.Second / time.Duration(tt.perS))
-				table.OthersHave(now, picture)
+				table.SetPeerLoads(now, picture)
 				c, ok := table.Pick(now, long(int(now.UnixNano())))
 				is.True(ok)
 				table.Ended(now, c, Completed, Answer{})
@@ -53,7 +53,7 @@
 			}
 			picture.Loads, picture.Age = loads, 0
 			now = now.Add(reservationTTL + time.Millisecond)
-			table.OthersHave(now, picture)
+			table.SetPeerLoads(now, picture)
 			table.peersAge = tt.age
 			got := table.sampleSize(now, p, tt.engines, false)
 			is.True(float64(got) >= 0.8*float64(tt.want) && float64(got) <= 1.2*float64(tt.want))
@@ -68,7 +68,7 @@
 	table := enginesWith(t, 100)
 	picture := peerLoadsOf(nil)
 	picture.Age, picture.Gateways = time.Second, 1000
-	table.OthersHave(t0, picture)
+	table.SetPeerLoads(t0, picture)
 	p := table.pools["p"]
 	p.sent.others = arrivals{count: 100, at: t0}
 	for i := range 50 {
@@ -87,7 +87,7 @@
 	u := table.pools["p"].members[0]
 	picture := peerLoadsOf(occupancy.Loads{u.hash: {Unread: 10_000}})
 	picture.Age = 50 * time.Millisecond
-	table.OthersHave(t0, picture)
+	table.SetPeerLoads(t0, picture)
 	is.Equal(u.unread(t0, 40), 8000)
 	is.Equal(u.unread(at(100), 40), 4000)
 	is.Equal(u.unread(at(600), 40), 0)
--- a/internal/core/balance/shed_test.go
+++ b/internal/core/balance/shed_test.go
@@ -49,7 +49,7 @@
 			for i, u := range table.pools["p"].members {
 				loads[u.hash] = occupancy.Load{Unread: tt.unread[i]}
 			}
-			table.OthersHave(t0, peerLoadsOf(loads))
+			table.SetPeerLoads(t0, peerLoadsOf(loads))
 			r := long(2)
 			r.Least = true
 			if tt.change != nil {
@@ -58,7 +58,7 @@
 			before := table.Loads(t0)
 			c, ok := table.Pick(t0, r)
 			is.Equal(ok, !tt.shed)
-			is.Equal(c.ComeBack > 0, tt.shed)
+			is.Equal(c.RetryAfter > 0, tt.shed)
 			if tt.shed {
 				is.Equal(len(table.Loads(t0)), len(before)) // a shed request is not counted
 			}
--- a/internal/core/balance/start_test.go
+++ b/internal/core/balance/start_test.go
@@ -25,7 +25,7 @@
 		before, late func(table *Table, c Choice)
 	}{
 		{"found ended", func(table *Table, c Choice) { table.Ended(now, c, Dead, Answer{}) }, nil},
-		{"found ended late", nil, func(table *Table, c Choice) { table.FoundGone(now, c.Instance) }},
+		{"found ended late", nil, func(table *Table, c Choice) { table.MarkGone(now, c.Instance) }},
 		{"ejected before the restart", func(table *Table, c Choice) {
 			table.Ended(now, c, Broken, Answer{})
 			for range 9 {
@@ -35,7 +35,7 @@
 		}, nil},
 		{"requests end late", nil, func(table *Table, c Choice) { table.Ended(now, c, Dead, Answer{}) }},
 		{"found ended by other gateways", nil, func(table *Table, c Choice) {
-			table.OthersHave(now, Picture{Loads: occupancy.Loads{c.Start(): {Gone: 5}}, Keep: time.Minute, Gateways: 9})
+			table.SetPeerLoads(now, PeerLoads{Loads: occupancy.Loads{c.Start(): {Gone: 5}}, Keep: time.Minute, Gateways: 9})
 		}},
 		{"prompt cached", func(table *Table, c Choice) { table.Began(now, c); table.Ended(now, c, Completed, Answer{}) }, nil},
 	}
--- a/internal/core/balance/table.go
+++ b/internal/core/balance/table.go
@@ -154,8 +154,8 @@
 // Changes lists the IDs of upstreams that were added, were removed, began to leave or
 // became cold.
 type Changes struct {
-	Came    []string
-	Went    []string
+	Added   []string
+	Removed []string
 	Leaving []string
 	Cold    []string
 	// Restarted lists those whose entry describes another incarnation than before.
@@ -181,7 +181,7 @@
 
 // Any reports whether anything changed.
 func (c Changes) Any() bool {
-	return len(c.Came)+len(c.Went)+len(c.Leaving)+len(c.Cold)+len(c.Restarted) > 0
+	return len(c.Added)+len(c.Removed)+len(c.Leaving)+len(c.Cold)+len(c.Restarted) > 0
 }
 
 // open reports whether the upstream may get new requests.
@@ -197,7 +197,7 @@
 		switch {
 		case !ok:
 			u = t.newUpstream(now, in, false)
-			c.Came = append(c.Came, in.ID)
+			c.Added = append(c.Added, in.ID)
 		case u.RestartedAs(in):
 			t.unlisted.Put(now, u.incarnation, u.notices)
 			u = t.newUpstream(now, in, u.Evacuated)
@@ -216,12 +216,12 @@
 		if !seen[id] {
 			t.unlisted.Put(now, u.incarnation, u.notices)
 			delete(t.upstreams, id)
-			c.Went = append(c.Went, id)
+			c.Removed = append(c.Removed, id)
 		}
 	}
 	t.markSuperseded()
 	t.rebuildPools(now)
-	slices.Sort(c.Went)
+	slices.Sort(c.Removed)
 	return c
 }
 
--- a/internal/core/balance/votes_test.go
+++ b/internal/core/balance/votes_test.go
@@ -27,7 +27,7 @@
 
 // applyVotes applies votes of other gateways.
 func (v voters) applyVotes(now time.Time, failing, served int) {
-	v.table.OthersHave(now, peerLoadsOf(occupancy.Loads{v.first.incarnation: {Failing: failing, Served: served}}))
+	v.table.SetPeerLoads(now, peerLoadsOf(occupancy.Loads{v.first.incarnation: {Failing: failing, Served: served}}))
 }
 
 // tryFirst sends requests of the lowest urgency until one goes to the first upstream. Requests
--- a/internal/edge/gatewayd/apply.go
+++ b/internal/edge/gatewayd/apply.go
@@ -107,12 +107,12 @@
 	list := s.roster.Current(now)
 	changes := s.table.SetInstances(now, list)
 	s.publish(now, list)
-	if v := s.view.Load(); v.Table != nil && len(changes.Came) > 0 {
+	if v := s.view.Load(); v.Table != nil && len(changes.Added) > 0 {
 		s.table.SetPools(v.Table)
 	}
 	s.forgetLapsed(now)
 	if changes.Any() {
-		s.log.Info().Strs("came", changes.Came).Strs("went", changes.Went).Strs("leaving", changes.Leaving).Strs("cold", changes.Cold).Strs("restarted", changes.Restarted).
+		s.log.Info().Strs("came", changes.Added).Strs("went", changes.Removed).Strs("leaving", changes.Leaving).Strs("cold", changes.Cold).Strs("restarted", changes.Restarted).
 			Int("upstreams", len(list)).Int("lapsed", s.roster.Lapsed()).Msg("upstreams: list changed")
 	}
 }
--- a/internal/edge/gatewayd/attempt.go
+++ b/internal/edge/gatewayd/attempt.go
@@ -99,7 +99,7 @@
 		}
 		x.server.table.Ended(now, choice, o, balance.Answer{Tokens: tokens, LongestGap: x.longestGap, Load: load})
 		if load != nil {
-			x.server.table.Reported(now, choice.ID, *load)
+			x.server.table.SetLoad(now, choice.ID, *load)
 		}
 	})
 }
@@ -111,7 +111,7 @@
 	x.server.control.Must(func(now time.Time) {
 		x.server.table.Began(now, a.choice)
 		if a.head.Load != nil {
-			x.server.table.Reported(now, a.choice.ID, *a.head.Load)
+			x.server.table.SetLoad(now, a.choice.ID, *a.head.Load)
 		}
 	})
 }
--- a/internal/edge/gatewayd/lend.go
+++ b/internal/edge/gatewayd/lend.go
@@ -19,7 +19,7 @@
 // borrow asks holders for a turn of a limited upstream, for a request that has no other.
 func (x *request) borrow() (balance.Choice, bool) {
 	s := x.server
-	var loans []balance.Loan
+	var loans []balance.BorrowCandidate
 	s.control.Must(func(now time.Time) { loans = s.table.Borrowable(now, x.wants()) })
 	for _, l := range loans {
 		if x.left() <= borrowTimeout {
@@ -35,7 +35,7 @@
 		}
 		var choice balance.Choice
 		var ok bool
-		s.control.Must(func(now time.Time) { choice, ok = s.table.PickLent(now, x.wants(), l.Instance) })
+		s.control.Must(func(now time.Time) { choice, ok = s.table.PickBorrowed(now, x.wants(), l.Instance) })
 		if ok {
 			return choice, true
 		}
@@ -44,7 +44,7 @@
 }
 
 // borrowOf reports whether a holder lends a turn of the upstream. The error is of the call.
-func (x *request) borrowOf(l balance.Loan) (bool, error) {
+func (x *request) borrowOf(l balance.BorrowCandidate) (bool, error) {
 	s := x.server
 	var holder string
 	var ok bool
@@ -63,7 +63,7 @@
 	}
 	if !resp.Msg.GetGranted() {
 		wait := time.Duration(resp.Msg.GetWaitMs()) * time.Millisecond
-		s.control.Must(func(now time.Time) { s.table.NotLent(now, l.Instance, wait) })
+		s.control.Must(func(now time.Time) { s.table.BorrowRefused(now, l.Instance, wait) })
 	}
 	return resp.Msg.GetGranted(), nil
 }
--- a/internal/edge/gatewayd/lines.go
+++ b/internal/edge/gatewayd/lines.go
@@ -35,7 +35,7 @@
 		Bool("continues", x.continuing).
 		Bool("cold", c.Cold).
 		Bool("turn", c.Turn).
-		Bool("lent", c.Lent).
+		Bool("lent", c.Borrowed).
 		Bool("trial", c.Trial).
 		Bool("alone", x.progress.Suspect).
 		Int("urgency", x.admission.Urgency).
@@ -54,8 +54,8 @@
 		Str("upstream", c.ID).
 		Float64("wait_ms", c.Wait).
 		Int("candidates", c.Candidates)
-	if c.ToldAge >= 0 {
-		line = line.Dur("told_age", c.ToldAge)
+	if c.PeerLoadAge >= 0 {
+		line = line.Dur("told_age", c.PeerLoadAge)
 	}
 	return line
 }
@@ -67,7 +67,7 @@
 		Dur("target", x.admission.Route.Target).
 		Bool("standing", c.Standing).
 		Str("organisation", x.organisation()).
-		Dur("come_back", c.ComeBack).
+		Dur("come_back", c.RetryAfter).
 		Msg("pool is too busy")
 }
 
--- a/internal/edge/gatewayd/loads.go
+++ b/internal/edge/gatewayd/loads.go
@@ -55,7 +55,7 @@
 	req := &gladegaugev1.TellLoadsRequest{Gateway: s.PeersAddress()}
 	s.control.Must(func(now time.Time) {
 		s.takeOwn(now)
-		s.kept.Add(s.PeersAddress(), s.table.News())
+		s.kept.Add(s.PeersAddress(), s.table.TakeNewParts())
 		req.Gateways = count32(s.fleet.CellSize(now))
 		req.Loads = encodeLoads(s.occupancy.Zone(now))
 		req.Parts = encodeParts(s.kept.Beyond(address))
@@ -73,7 +73,7 @@
 	req := &gladegaugev1.TellLoadsRequest{Gateway: s.PeersAddress()}
 	s.control.Must(func(now time.Time) {
 		req.Loads = encodeLoads(s.table.Loads(now))
-		req.Parts = encodeParts(s.table.News())
+		req.Parts = encodeParts(s.table.TakeNewParts())
 		req.Suspects = s.suspects.Tell(now, address, true)
 	})
 	resp, ok := s.tell(ctx, address, req)
@@ -82,7 +82,7 @@
 	}
 	s.control.Must(func(now time.Time) {
 		s.occupancy.TakeAll(now, decodeLoads(resp.GetLoads()))
-		s.table.OthersRead(now, decodeParts(resp.GetParts()))
+		s.table.AddPeerParts(now, decodeParts(resp.GetParts()))
 		s.suspects.Hear(now, address, resp.GetSuspects(), 0)
 		s.takeOthers(now, false)
 	})
@@ -99,7 +99,7 @@
 			}
 		}
 		s.takeOwn(now)
-		s.kept.Add(s.PeersAddress(), s.table.News())
+		s.kept.Add(s.PeersAddress(), s.table.TakeNewParts())
 		s.takeOthers(now, true)
 	})
 	for _, address := range to {
@@ -129,7 +129,7 @@
 // takePartsOfZone takes the parts that another availability zone told of, and passes
 // them on. It runs in the control goroutine.
 func (s *Server) takePartsOfZone(now time.Time, parts []occupancy.Part) {
-	s.table.OthersRead(now, parts)
+	s.table.AddPeerParts(now, parts)
 	s.kept.Add("", parts)
 }
 
@@ -150,13 +150,13 @@
 // the control goroutine.
 func (s *Server) takeOthers(now time.Time, relay bool) {
 	if loads, ok := s.occupancy.Others(now, relay); ok {
-		doubts := s.table.OthersHave(now, balance.Picture{
+		doubts := s.table.SetPeerLoads(now, balance.PeerLoads{
 			Loads:    loads,
 			Age:      s.occupancy.Age(),
 			Keep:     s.occupancy.Keep(),
 			Gateways: s.fleet.Size(now),
 		})
-		if doubts.Spoken {
+		if doubts.LimitsReported {
 			s.publishClosed(now)
 		}
 		for _, l := range doubts.Limited {
@@ -201,7 +201,7 @@
 			resp.Parts = encodeParts(s.kept.Beyond(from))
 			return
 		}
-		s.table.OthersRead(now, parts)
+		s.table.AddPeerParts(now, parts)
 		if !s.fleet.IsNeighbour(now, from) {
 			// A gateway that tells several relays would be as many witnesses: one that lied
 			// put a sound replica last for 1, 2 and 4 s, one after the other.
--- a/internal/edge/gatewayd/notice.go
+++ b/internal/edge/gatewayd/notice.go
@@ -35,13 +35,13 @@
 	if r.StatusCode >= http.StatusOK && x.owns(r) {
 		n.SentAt = x.sentAt
 	}
-	var said balance.Said
+	var said balance.NoticeResult
 	s.control.Must(func(now time.Time) {
 		said = s.table.Notice(now, choice.Instance, n)
 		switch {
-		case said.Leaves:
+		case said.NewlyLeaving:
 			s.publish(now, s.roster.Current(now))
-		case said.Rests, said.Limits:
+		case said.BackoffExtended, said.LimitChanged:
 			s.publishClosed(now)
 		}
 	})
@@ -54,18 +54,18 @@
 	if said.Of.ID == "" && n.Any() {
 		line(noticeNobody).Str("sent_to", choice.ID).Str("named", n.Of).Msg("a word of nobody that is listed")
 	}
-	if said.Leaves {
+	if said.NewlyLeaving {
 		line(noticeLeaving).Msg("upstream says that it leaves")
 	}
-	if said.Rests {
+	if said.BackoffExtended {
 		rest := said.State.RestUntil().Sub(s.now())
 		line(noticeRest).Dur("asked", n.Rest).Dur("rest", rest).Msg("upstream asks for rest")
 	}
-	if said.Limits {
+	if said.LimitChanged {
 		limit := said.State.Named()
 		line(noticeLimit).Bool("limited", limit.Named).Float64("per_second", limit.PerSecond).Msg("upstream changes its limit")
 	}
-	if said.Unreadable {
+	if said.NewlyUnreadable {
 		text := n.Unread[:min(len(n.Unread), unreadMost)]
 		line(noticeUnread).Str("text", text).Msg("upstream says what cannot be read")
 	}
--- a/internal/edge/gatewayd/pick.go
+++ b/internal/edge/gatewayd/pick.go
@@ -17,7 +17,7 @@
 		}
 		choice, ok = x.server.table.Pick(now, x.wants())
 	})
-	if !ok && choice.ComeBack == 0 {
+	if !ok && choice.RetryAfter == 0 {
 		choice, ok = x.borrow()
 	}
 	return x.picked(choice, ok)
@@ -49,7 +49,7 @@
 	return balance.Request{
 		Route:        route.Name,
 		Pool:         x.admission.Pool,
-		Pause:        route.PauseTarget,
+		TargetGap:    route.PauseTarget,
 		Target:       route.Target,
 		Tier:         route.Tier,
 		Prompt:       x.call.Prompt,
@@ -58,7 +58,7 @@
 		Protect:      route.Kind == ingress.Stream && !route.Resumable && !x.progress.Suspect,
 		Exclude:      x.tried,
 		Least:        x.view.Table.IsLeast(x.admission.Organisation, route, x.admission.Pool),
-		Alone:        x.progress.Suspect,
+		Isolate:      x.progress.Suspect,
 		Hash:         uint64(x.began.UnixNano()),
 	}
 }
--- a/internal/edge/gatewayd/request.go
+++ b/internal/edge/gatewayd/request.go
@@ -149,9 +149,9 @@
 	next := x.pick
 	for {
 		choice, ok := next()
-		if choice.ComeBack > 0 {
+		if choice.RetryAfter > 0 {
 			x.logBusy(choice)
-			x.end(gateway.Busy(choice.ComeBack))
+			x.end(gateway.Busy(choice.RetryAfter))
 			return
 		}
 		if !ok {
--- a/internal/edge/gatewayd/respond.go
+++ b/internal/edge/gatewayd/respond.go
@@ -48,7 +48,7 @@
 	var left time.Duration
 	var limited bool
 	x.server.control.Must(func(now time.Time) {
-		left, limited = x.server.table.ComeBack(now, x.admission.Pool, uint64(x.began.UnixNano()))
+		left, limited = x.server.table.RetryAfter(now, x.admission.Pool, uint64(x.began.UnixNano()))
 	})
 	if limited {
 		return refusal.WithLimit(left)
--- a/internal/edge/gatewayd/server.go
+++ b/internal/edge/gatewayd/server.go
@@ -212,7 +212,7 @@
 // sweep forgets what is no longer used. It runs in the control goroutine.
 func (s *Server) sweep(now time.Time) {
 	s.suspects.Sweep(now, s.metrics.suspects)
-	s.table.ForgetParts(now)
+	s.table.ExpireParts(now)
 	if end, ok := s.roster.NextEnd(); ok && !now.Before(end) {
 		// The timer goes off late after a suspension.
 		s.applyRoster(now)
--- a/internal/edge/gatewayd/suspects.go
+++ b/internal/edge/gatewayd/suspects.go
@@ -81,7 +81,7 @@
 	}
 	leaves, known := false, false
 	s.control.Must(func(now time.Time) {
-		if leaves = s.table.Leaves(c.ID); leaves {
+		if leaves = s.table.EndExpected(c.ID); leaves {
 			return
 		}
 		lost.At = now
@@ -97,7 +97,7 @@
 	s.control.Must(func(now time.Time) {
 		if ended {
 			s.foundEnded(now, c.Instance, balance.Dead)
-			s.table.FoundGone(now, c.Instance)
+			s.table.MarkGone(now, c.Instance)
 		}
 		v = s.suspects.Look(now, lost.Print)
 	})
