--- a/internal/core/balance/busy_test.go
+++ b/internal/core/balance/busy_test.go
@@ -10,7 +10,7 @@
 	"github.com/gladegauge/gladegauge/internal/core/occupancy"
 )
 
-// A pool is busy by what all gateways have there, whatever this one has.
+// Whether a pool is busy depends on the load of all gateways, not only of this one.
 func TestBusy(t *testing.T) {
 	tests := []struct {
 		name string
@@ -19,11 +19,11 @@
 		load    occupancy.Load
 		busy    bool
 	}{
-		{"engines that read nothing", true, occupancy.Load{Requests: 5}, false},
+		{"engines without backlog", true, occupancy.Load{Requests: 5}, false},
 		{"engines with a short prompt", true, occupancy.Load{Requests: 1, Unread: 300}, false},
 		{"engines with two long prompts", true, occupancy.Load{Requests: 2, Unread: 12_000}, true},
 		{"a service with a request on each", false, occupancy.Load{Requests: 1}, false},
-		{"a service with most slots taken", false, occupancy.Load{Requests: 4}, true},
+		{"a service with most slots in use", false, occupancy.Load{Requests: 4}, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -42,7 +42,7 @@
 			}
 			is.True(!table.Busy(t0))
 			now := t0.Add(time.Second)
-			table.OthersHave(now, Picture{Loads: loads, Age: 100 * time.Millisecond, Keep: time.Second, Gateways: 40})
+			table.SetPeerLoads(now, PeerLoads{Loads: loads, Age: 100 * time.Millisecond, Keep: time.Second, Gateways: 40})
 			is.Equal(table.Busy(now.Add(time.Millisecond)), tt.busy)
 		})
 	}
--- a/internal/core/balance/capacity.go
+++ b/internal/core/balance/capacity.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// capacities returns what each upstream may get, as a part of what one without a limit can
-// take.
+// capacities returns a function for the capacity of an upstream, relative to that of one
+// without a rate limit.
 func (p *pool) capacities() func(*upstream) float64 {
 	work := 0.0
 	return func(u *upstream) float64 {
-		if !u.limited.Announced {
+		if !u.limit.Announced {
 			return 1
 		}
 		if work == 0 {
-			work = p.usualWork() / milliseconds(time.Second)
+			work = p.meanLatencyMs() / milliseconds(time.Second)
 		}
-		return min(1, u.limited.PerSecond*work/float64(max(u.Slots, 1)))
+		return min(1, u.limit.PerSecond*work/float64(max(u.Slots, 1)))
 	}
 }
--- a/internal/core/balance/fetch.go
+++ b/internal/core/balance/fetch.go
@@ -2,52 +2,53 @@
 
 import "time"
 
-// Copies of KV cache between engines.
+// Copying of KV cache between engines.
 const (
-	// fetchLeast is the least number of tokens that are worth a copy: to set one
-	// up takes an engine a few milliseconds, in which it reads about as many.
-	fetchLeast = 128
-	// bitsPerByte turns the size of a token into bits.
+	// minFetchTokens is the minimum number of tokens for which a copy is worthwhile:
+	// setting up a copy takes an engine a few milliseconds, in which it could prefill
+	// about as many.
+	minFetchTokens = 128
+	// bitsPerByte converts the size of a token to bits.
 	bitsPerByte = 8
-	// mbpsBits is what a link of a megabit a second carries in a millisecond, in
-	// bits.
-	mbpsBits = 1000
+	// bitsPerMbpsMs is the number of bits that a link of one megabit per second carries
+	// in a millisecond.
+	bitsPerMbpsMs = 1000
 )
 
-// source is an engine that keeps a beginning of a prompt.
+// source is an engine that has the beginning of a prompt cached.
 type source struct {
 	upstream *upstream
-	// tokens is the part that it is believed to keep.
+	// tokens is the number of tokens that it is expected to have cached.
 	tokens int
 }
 
-// sourceFor returns the engine that the chosen one should copy from; one with
-// no tokens if a copy is not worth it. The engine copies only what it lacks, so
-// that naming one costs nothing. One is named also if the chosen engine is believed to
-// keep all of it: where memory is short, parts give way that this gateway still
-// believes in. That took a tenth of the shared parts that were read again away on a
+// sourceFor returns the engine that the chosen one should copy from, with no tokens if a
+// copy is not worthwhile. The engine copies only the tokens that it lacks, so naming a
+// source costs nothing. A source is named even if the chosen engine is expected to have
+// all of the prompt cached: when memory is short, it evicts parts that this gateway still
+// assumes to be there. That saved a tenth of the repeated prefill of shared parts on one
 // day of bursts, and a fifth on another.
 func (p *pool) sourceFor(now time.Time, chosen *upstream, candidates []*upstream, prompt Prompt, keys []uint64) source {
-	if len(prompt.shared()) == 0 || !p.copies() {
+	if len(prompt.shared()) == 0 || !p.copiesCache() {
 		return source{}
 	}
-	best := mostKept(now, chosen, candidates, prompt, keys)
-	if best.tokens < fetchLeast || p.moveMs(best.tokens) > float64(best.tokens)/p.speed.tokensPerMs() {
+	best := bestSource(now, chosen, candidates, prompt, keys)
+	if best.tokens < minFetchTokens || p.transferMs(best.tokens) > float64(best.tokens)/p.speed.tokensPerMs() {
 		return source{}
 	}
 	return best
 }
 
-// copies reports whether the pool's engines copy KV cache from one another, over
-// a link of known speed.
-func (p *pool) copies() bool {
+// copiesCache reports whether the pool's engines copy KV cache from one another over a
+// link of known bandwidth.
+func (p *pool) copiesCache() bool {
 	return p.engine != nil && p.engine.Moves && p.engine.LinkMbps > 0
 }
 
-// mostKept returns the engine beside the chosen one that is believed to keep the
-// most of the shared parts: one that this gateway used, or the home of a
-// beginning.
-func mostKept(now time.Time, chosen *upstream, candidates []*upstream, prompt Prompt, keys []uint64) source {
+// bestSource returns the engine other than the chosen one that is expected to have the
+// most of the shared parts cached: one that this gateway has used, or the home of a
+// prefix.
+func bestSource(now time.Time, chosen *upstream, candidates []*upstream, prompt Prompt, keys []uint64) source {
 	var best source
 	consider := func(u *upstream, tokens int) {
 		if u != chosen && tokens > best.tokens {
@@ -56,18 +57,18 @@
 	}
 	shared := prompt.shared()
 	for _, u := range candidates {
-		consider(u, u.cache.heldNow(now, prompt, keys[:len(shared)]))
+		consider(u, u.cache.keptAndRead(now, prompt, keys[:len(shared)]))
 	}
 	tokens := 0
 	for i, part := range shared {
 		tokens += part.Tokens
-		consider(homeOfKey(candidates, keys[i]), int(homeCredit*float64(tokens)))
+		consider(homeOfKey(candidates, keys[i]), int(homeKeptShare*float64(tokens)))
 	}
 	return best
 }
 
-// moveMs is the time that a copy of the tokens takes on the link between two
-// engines, in milliseconds.
-func (p *pool) moveMs(tokens int) float64 {
-	return float64(tokens*p.engine.TokenBytes*bitsPerByte) / (p.engine.LinkMbps * mbpsBits)
+// transferMs is the time to copy the tokens over the link between two engines, in
+// milliseconds.
+func (p *pool) transferMs(tokens int) float64 {
+	return float64(tokens*p.engine.TokenBytes*bitsPerByte) / (p.engine.LinkMbps * bitsPerMbpsMs)
 }
--- a/internal/core/balance/tight_test.go
+++ b/internal/core/balance/gap_targets_test.go
@@ -11,23 +11,22 @@
 	"github.com/gladegauge/gladegauge/internal/core/occupancy"
 )
 
-// chat is a tight stream with a small prompt of its own.
+// chat is a tight stream with a small private prompt.
 func chat(i int) Request {
 	own := Part{ID: uint64(50_000 + i), Tokens: 500}
-	return Request{Pool: "p", Route: "chat", Pause: 250 * time.Millisecond, Target: 300 * time.Millisecond,
+	return Request{Pool: "p", Route: "chat", TargetGap: 250 * time.Millisecond, Target: 300 * time.Millisecond,
 		Hash: uint64(i), Prompt: Prompt{Model: 1, Tokens: 500, OutputHint: 100, Parts: []Part{own}}}
 }
 
-// long is a stream with a long prompt, on one of twenty subjects.
+// long is a stream with a long prompt on one of twenty subjects.
 func long(i int) Request {
-	return Request{Pool: "p", Route: "long", Pause: time.Second, Target: time.Second, Tier: 1,
+	return Request{Pool: "p", Route: "long", TargetGap: time.Second, Target: time.Second, Tier: 1,
 		Hash: uint64(i), Prompt: prompt(uint64(i%20), uint64(i))}
 }
 
-// Long prompts keep away from engines where tight streams run, of any gateway, and
-// tight streams from engines that read; while there is nowhere else, both are
-// served anyway.
-func TestPromptsKeepAwayFromTightStreams(t *testing.T) {
+// Long prompts avoid engines that run tight streams of any gateway, and tight streams
+// avoid engines busy with prefill; if there is no other engine, both are served anyway.
+func TestPromptsAvoidTightStreams(t *testing.T) {
 	for _, n := range []int{1, 3, 6} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			is := is.New(t)
@@ -44,7 +43,7 @@
 			beside := 0
 			for i := range 40 {
 				now := at(20 * i)
-				table.OthersHave(now, pictureOf(loads))
+				table.SetPeerLoads(now, peerLoadsOf(loads))
 				c, ok := table.Pick(now, long(i))
 				is.True(ok)
 				table.Began(at(20*i+15), c)
@@ -65,33 +64,33 @@
 	}
 }
 
-// Streams are told apart by the pauses that the configuration promises, before
-// the first request came.
-func TestPausesOfThePool(t *testing.T) {
+// Streams are classified by the gap targets in the configuration, before the first
+// request arrives.
+func TestGapTargets(t *testing.T) {
 	tests := []struct {
-		name    string
-		targets []ingress.Pause
-		limit   time.Duration
-		tier    int
+		name       string
+		targets    []ingress.Pause
+		tightLimit time.Duration
+		tier       int
 	}{
 		{"no streams", nil, 0, 0},
-		{"one pause", []ingress.Pause{{Target: time.Second}}, 0, 0},
+		{"one target", []ingress.Pause{{Target: time.Second}}, 0, 0},
 		{"alike", []ingress.Pause{{Target: time.Second}, {Target: 1200 * time.Millisecond}}, 0, 0},
 		{"unlike", []ingress.Pause{{Target: time.Second, Tier: 3}, {Target: 1100 * time.Millisecond, Tier: 2}, {Target: 2 * time.Second, Tier: 1}}, 1300 * time.Millisecond, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			var p pauses
+			var p gapTargets
 			p.set(tt.targets)
-			is.Equal(p.limit, tt.limit)
+			is.Equal(p.tightLimit, tt.tightLimit)
 			is.Equal(p.tier, tt.tier)
 			is.True(!p.isTight(0))
 		})
 	}
 }
 
-// Lengths of answers are learned by route; a hint of the caller goes first.
+// The length of answers is learned by route; a caller's hint takes precedence.
 func TestOutputs(t *testing.T) {
 	is := is.New(t)
 	o := make(outputs)
@@ -103,8 +102,7 @@
 	is.Equal(o.expected(r), 70.0)
 }
 
-// A pool whose routes are alike, or without engines that share parts, is picked
-// from without a fault.
+// Pools whose routes are alike, or whose engines share no parts, are handled.
 func TestUnusualPools(t *testing.T) {
 	is := is.New(t)
 	table := tableWith(3)
@@ -122,12 +120,12 @@
 	is.Equal(len(used), 3)
 }
 
-// The further a request stands below tight streams, the more it yields to them.
+// The further a request ranks below tight streams, the more it yields to them.
 func TestYield(t *testing.T) {
 	is := is.New(t)
-	p := pauses{limit: time.Second, tier: 1}
-	is.Equal(p.yield(0), leastYield)
-	is.Equal(p.yield(1), leastYield)
+	p := gapTargets{tightLimit: time.Second, tier: 1}
+	is.Equal(p.yield(0), minYield)
+	is.Equal(p.yield(1), minYield)
 	is.Equal(p.yield(2), 1.0)
 	is.Equal(p.yield(4), 3.0)
 }
--- a/internal/core/balance/load.go
+++ b/internal/core/balance/load.go
@@ -2,87 +2,88 @@
 
 import "time"
 
-// Load is what an upstream says of itself in an answer.
+// Load is the load that an upstream reports with an answer.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
-	// Percent is how long work takes there now, of what is usual; 0 if it does not say.
+	// Percent is the current duration of its work relative to the usual one; 0 if not
+	// reported.
 	Percent int
 }
 
-// staleAfter is the age at which a load says nothing any more: many requests
-// come and go in that time.
-const staleAfter = 2 * time.Second
+// loadTTL is the age at which a load report is ignored, since many requests come and go
+// in that time.
+const loadTTL = 2 * time.Second
 
-// load is the latest word of an upstream, and what this gateway had sent then.
+// load is the latest report of an upstream, and the number of requests that this gateway
+// had there at the time.
 type load struct {
 	Load
-	at    time.Time
-	own   int
-	known bool
+	at         time.Time
+	ownRunning int
+	known      bool
 }
 
-// saysFull reports whether the upstream said lately that it has nearly all that it takes.
-func (u *upstream) saysFull(now time.Time) bool {
-	return u.load.known && now.Sub(u.load.at) < staleAfter && u.load.full()
+// reportedFull reports whether the upstream recently reported that it is nearly full.
+func (u *upstream) reportedFull(now time.Time) bool {
+	return u.load.known && now.Sub(u.load.at) < loadTTL && u.load.isFull()
 }
 
 // run is a request that this gateway sent and that has not ended.
 type run struct {
 	route string
-	// organisation is the hash of the name of who sends it.
+	// organisation is the hash of the name of the organisation that sent it.
 	organisation uint64
-	// unread is the part of the prompt that the engine has to read, in tokens;
-	// 0 once its first event came.
+	// unread is the number of prompt tokens that the engine still has to prefill; 0 after
+	// the first event.
 	unread int
-	// tokens is the memory that it fills at an engine: its prompt and its
-	// expected answer.
+	// tokens is the memory that it takes at an engine: its prompt and its expected
+	// answer.
 	tokens int
-	// pause is the longest pause that its caller bears; 0 for any.
-	pause time.Duration
-	// least says that no request for the pool is less urgent.
-	least  bool
-	sentAt time.Time
-	// deadline is when its caller leaves; zero for never.
+	// targetGap is the longest gap between events that the caller tolerates; 0 for any.
+	targetGap time.Duration
+	// lowestPriority marks a request of the lowest urgency in its pool.
+	lowestPriority bool
+	sentAt         time.Time
+	// deadline is when the caller gives up; zero for never.
 	deadline time.Time
-	// begun is true once its first event came, at begunAt.
-	begun   bool
-	begunAt time.Time
-	// hangs is true once it was counted as one that hangs.
-	hangs bool
-	// expected is the time to its first event, in milliseconds, at an engine that
-	// is as fast as its pool.
+	// started is true after the first event, which arrived at startedAt.
+	started   bool
+	startedAt time.Time
+	// hung is true once it was counted as a hanging request.
+	hung bool
+	// expected is the expected time to the first event at an engine of the pool's usual
+	// speed, in milliseconds.
 	expected float64
 }
 
-// others estimates how many requests of other gateways are at the upstream.
+// others estimates the number of requests of other gateways at the upstream.
 func (u *upstream) others(now time.Time) float64 {
-	if u.told(now) {
-		return float64(u.shared.Requests)
+	if u.hasPeerLoad(now) {
+		return float64(u.peerLoad.Requests)
 	}
 	if !u.load.known {
 		return 0
 	}
-	trust := 1 - float64(now.Sub(u.load.at))/float64(staleAfter)
+	trust := 1 - float64(now.Sub(u.load.at))/float64(loadTTL)
 	if trust <= 0 {
 		return 0
 	}
-	return trust * float64(max(0, u.load.Running+u.load.Waiting-u.load.own))
+	return trust * float64(max(0, u.load.Running+u.load.Waiting-u.load.ownRunning))
 }
 
-// inFlight estimates how many requests are at the upstream.
+// inFlight estimates the number of requests at the upstream.
 func (u *upstream) inFlight(now time.Time) float64 {
 	return float64(len(u.running)) + u.others(now)
 }
 
-// unread is the prompt tokens that wait to be read at the engine, as far as they
-// are known. It has read on since other gateways told of theirs, at the given speed in
-// tokens a millisecond.
+// unread estimates the prompt tokens that wait for prefill at the engine. The engine has
+// read on at perMs tokens per millisecond since other gateways reported theirs.
 func (u *upstream) unread(now time.Time, perMs float64) int {
 	tokens := 0
-	if u.told(now) {
-		tokens = max(0, u.shared.Unread-int(perMs*milliseconds(now.Sub(u.sharedAt))))
+	if u.hasPeerLoad(now) {
+		tokens = max(0, u.peerLoad.Unread-int(perMs*milliseconds(now.Sub(u.peerLoadAt))))
 	}
 	for _, r := range u.running {
 		tokens += r.unread
@@ -90,12 +91,12 @@
 	return tokens
 }
 
-// memoryTokens estimates the memory that the requests at the engine fill, in
-// tokens. Those of other gateways are taken to have the mean.
+// memoryTokens estimates the memory that the requests at the engine take, in tokens.
+// Requests of other gateways whose size is unknown are assumed to have the mean size.
 func (u *upstream) memoryTokens(now time.Time, mean float64) float64 {
 	tokens := mean * u.others(now)
-	if u.told(now) {
-		tokens = float64(u.shared.Tokens)
+	if u.hasPeerLoad(now) {
+		tokens = float64(u.peerLoad.Tokens)
 	}
 	for _, r := range u.running {
 		tokens += float64(r.tokens)
@@ -103,33 +104,33 @@
 	return tokens
 }
 
-// tight counts the streams that bear only pauses up to the limit.
+// tight counts the streams with a gap target up to the limit.
 func (u *upstream) tight(now time.Time, limit time.Duration) int {
 	n := u.ownTight(limit)
-	if u.told(now) {
-		n += u.shared.Tight
+	if u.hasPeerLoad(now) {
+		n += u.peerLoad.Tight
 	}
 	return n
 }
 
-// ownTight counts those of this gateway.
+// ownTight counts such streams of this gateway.
 func (u *upstream) ownTight(limit time.Duration) int {
 	n := 0
 	for _, r := range u.running {
-		if r.pause > 0 && r.pause <= limit {
+		if r.targetGap > 0 && r.targetGap <= limit {
 			n++
 		}
 	}
 	return n
 }
 
-// pendingLeast is the longest time that one of the least urgent requests of this gateway
-// has waited for its first event until now.
-func (p *pool) pendingLeast(now time.Time) time.Duration {
+// longestPending is the longest time that a request of the lowest urgency of this gateway
+// has been waiting for its first event.
+func (p *pool) longestPending(now time.Time) time.Duration {
 	longest := time.Duration(0)
 	for _, u := range p.members {
 		for _, r := range u.running {
-			if r.least && !r.begun {
+			if r.lowestPriority && !r.started {
 				longest = max(longest, now.Sub(r.sentAt))
 			}
 		}
@@ -137,11 +138,11 @@
 	return longest
 }
 
-// Reported takes the load that rode on an answer.
-func (t *Table) Reported(now time.Time, id string, l Load) {
+// SetLoad records the load that came with an answer.
+func (t *Table) SetLoad(now time.Time, id string, l Load) {
 	u, ok := t.upstreams[id]
 	if !ok {
 		return
 	}
-	u.load = load{Load: l, at: now, own: len(u.running), known: true}
+	u.load = load{Load: l, at: now, ownRunning: len(u.running), known: true}
 }
--- a/internal/core/balance/replay_simulation_test.go
+++ b/internal/core/balance/replay_simulation_test.go
@@ -195,13 +195,13 @@
 
 // send picks an engine for the request and sends it there.
 func (r *replay) send(q *replayRequest) {
-	c, ok := q.gateway.table.Pick(r.now, Request{Pool: "p", Route: q.class.name, Pause: q.class.pauseLimit(), Tier: q.class.tier,
+	c, ok := q.gateway.table.Pick(r.now, Request{Pool: "p", Route: q.class.name, TargetGap: q.class.pauseLimit(), Tier: q.class.tier,
 		Target: q.class.target, Deadline: q.arrivedAt.Add(q.class.patient), Prompt: q.prompt, Exclude: q.tried, Hash: r.rng.Uint64(), Least: q.class.tier == 2})
-	if c.ComeBack > 0 {
-		r.rejected(q, c.ComeBack)
+	if c.RetryAfter > 0 {
+		r.rejected(q, c.RetryAfter)
 		return
 	}
-	if !ok && c.ComeBack == 0 && r.lending {
+	if !ok && c.RetryAfter == 0 && r.lending {
 		r.borrow(q)
 		return
 	}
@@ -256,7 +256,7 @@
 // rejectedInBackoff makes the caller of a request without an upstream retry if all
 // engines are backing off.
 func (r *replay) rejectedInBackoff(q *replayRequest) {
-	left, _ := q.gateway.table.ComeBack(r.now, "p", uint64(r.now.UnixNano()))
+	left, _ := q.gateway.table.RetryAfter(r.now, "p", uint64(r.now.UnixNano()))
 	if left == 0 {
 		r.count(q.class, refusedResult)
 		return
@@ -324,7 +324,7 @@
 func (r *replay) exchangeReports(i int) {
 	g := r.gateways[i]
 	loads := g.table.Loads(r.now)
-	cachedParts := g.table.News()
+	cachedParts := g.table.TakeNewParts()
 	r.after(milliseconds(r.reportDelay), func() {
 		for id, l := range g.loads {
 			r.total[id] = subtractLoads(r.total[id], l)
@@ -343,7 +343,7 @@
 				others[id] = o
 			}
 		}
-		d := g.table.OthersHave(r.now, Picture{Loads: others, Age: r.reportDelay + r.reportInterval/2, Keep: 7 * r.reportInterval, Gateways: len(r.gateways)})
+		d := g.table.SetPeerLoads(r.now, PeerLoads{Loads: others, Age: r.reportDelay + r.reportInterval/2, Keep: 7 * r.reportInterval, Gateways: len(r.gateways)})
 		r.outvoted += len(d.Outvoted)
 		r.hanging += len(d.Hanging)
 		var parts []occupancy.Part
@@ -352,7 +352,7 @@
 				parts = append(parts, r.cachedParts[g.receivedParts])
 			}
 		}
-		g.table.OthersRead(r.now, parts)
+		g.table.AddPeerParts(r.now, parts)
 	})
 	r.after(milliseconds(r.reportInterval), func() { r.exchangeReports(i) })
 }
