--- a/cmd/gladegauge-standin/main.go
+++ b/cmd/gladegauge-standin/main.go
@@ -1,6 +1,5 @@
-// Command gladegauge-standin plays the platform, the upstreams, the operators'
-// pipeline and the callers, for the demo and for tests. It is not part of the
-// product.
+// Command gladegauge-standin simulates the platform, the upstreams, the operators' pipeline
+// and the callers, for the demo and for tests. It is not part of the product.
 //
 // # Usage
 //
@@ -33,10 +32,10 @@
 )
 
 func main() {
-	program.Main(platformCommand(), engineCommand(), serviceCommand(), publishCommand(), loadCommand(), usersCommand(), usersLoadCommand(), program.VersionCommand())
+	program.Main(platformCommand(), engineCommand(), serviceCommand(), publishCommand(), loadCommand(), usersPlatformCommand(), usersLoadCommand(), program.VersionCommand())
 }
 
-// serve listens until the process is told to stop.
+// serve serves HTTP until the process receives a signal to stop.
 func serve(ctx context.Context, name, listen string, h http.Handler) int {
 	log := logging.New(os.Stderr, "info", "gladegauge-standin", name)
 	plain := &rpc.Keys{Plain: true}
@@ -44,7 +43,7 @@
 	if err != nil {
 		return program.ExitFailure
 	}
-	return program.Run(ctx, log, atOnce(func(ctx context.Context) error {
+	return program.Run(ctx, log, withoutDrain(func(ctx context.Context) error {
 		l, err := program.Listen(log, name, listen)
 		if err != nil {
 			return err
@@ -55,8 +54,8 @@
 	}))
 }
 
-// atOnce is a service whose planned stop waits for nothing.
-func atOnce(run func(ctx context.Context) error) program.Service {
+// withoutDrain returns a service that stops immediately, without draining.
+func withoutDrain(run func(ctx context.Context) error) program.Service {
 	return program.Service{
 		Run:        run,
 		Drain:      func(context.Context) error { return nil },
@@ -99,16 +98,16 @@
 
 func serviceCommand() *program.Command {
 	var listen string
-	var takes time.Duration
+	var latency time.Duration
 	return &program.Command{
 		Title: "service",
 		Short: "play a plain service whose calls may not be repeated",
 		Declare: func(s *settings.Set) {
 			s.String(&listen, "listen", "127.0.0.1:9002", "IP number and port", settings.AddrPort)
-			s.Duration(&takes, "takes", 40*time.Millisecond, "time of one call")
+			s.Duration(&latency, "takes", 40*time.Millisecond, "time of one call")
 		},
 		Do: func(ctx context.Context, _ []string) int {
-			return serve(ctx, "service", listen, service.New(takes))
+			return serve(ctx, "service", listen, service.New(latency))
 		},
 	}
 }
@@ -123,11 +122,12 @@
 			s.String(&o.Values, "values", "", "folder that gladegauge-ctl build wrote")
 			s.String(&o.Hosts, "hosts", "", "YAML file of host lists", settings.File)
 		},
-		Do: func(ctx context.Context, _ []string) int { return report(publish.Run(ctx, o)) },
+		Do: func(ctx context.Context, _ []string) int { return exitCode(publish.Run(ctx, o)) },
 	}
 }
 
-func report(err error) int {
+// exitCode prints the error, if there is one, and returns the exit code of the program.
+func exitCode(err error) int {
 	if err != nil {
 		_, _ = fmt.Fprintln(os.Stderr, err)
 		return program.ExitFailure
@@ -154,26 +154,27 @@
 				o.Deployment = load.Salish()
 			}
 			o.HTTP = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
-			return report(judge(ctx, load.Run(ctx, o), program.SplitList(services)))
+			return exitCode(checkReport(ctx, load.Run(ctx, o), program.SplitList(services)))
 		},
 	}
 }
 
-// judge prints the report and fails if a promise was broken.
-func judge(ctx context.Context, r *load.Report, services []string) error {
+// checkReport prints the report. It returns an error if a guarantee was violated, including
+// that plain services run no request twice, or if no request was completed.
+func checkReport(ctx context.Context, r *load.Report, services []string) error {
 	if err := r.Print(os.Stdout); err != nil {
 		return err
 	}
-	wrong := r.Wrong
+	violations := r.Violations
 	for _, s := range services {
 		twice, err := load.RunTwice(ctx, s)
 		if err != nil {
 			return err
 		}
-		wrong = append(wrong, twice...)
+		violations = append(violations, twice...)
 	}
-	if len(wrong) > 0 {
-		return fmt.Errorf("%d broken promises:\n%s", len(wrong), strings.Join(wrong, "\n"))
+	if len(violations) > 0 {
+		return fmt.Errorf("%d violated guarantees:\n%s", len(violations), strings.Join(violations, "\n"))
 	}
 	if r.Completed() == 0 {
 		return fmt.Errorf("no request was completed")
--- a/cmd/gladegauge-standin/users.go
+++ b/cmd/gladegauge-standin/users.go
@@ -14,29 +14,30 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// owner ends what the stand-ins started when the program ends.
+// owner runs the cleanup of the test doubles when the program ends.
 type owner struct{ cleanups []func() }
 
-// Helper does nothing outside of tests.
+// Helper does nothing outside tests.
 func (*owner) Helper() {}
 
-// Fatal ends the program.
+// Fatal prints the arguments and exits with a failure.
 func (*owner) Fatal(args ...any) {
 	_, _ = fmt.Fprintln(os.Stderr, args...)
 	os.Exit(program.ExitFailure)
 }
 
-// Cleanup keeps a function for the end.
+// Cleanup registers a function for runCleanups.
 func (o *owner) Cleanup(f func()) { o.cleanups = append(o.cleanups, f) }
 
-func (o *owner) end() {
+// runCleanups calls the registered functions in reverse order.
+func (o *owner) runCleanups() {
 	for i := len(o.cleanups) - 1; i >= 0; i-- {
 		o.cleanups[i]()
 	}
 }
 
-// usersCommand plays the users' platform for a gateway.
-func usersCommand() *program.Command {
+// usersPlatformCommand simulates the users' platform for a gateway.
+func usersPlatformCommand() *program.Command {
 	var path, callers, readiness string
 	return &program.Command{
 		Title: "users-platform",
@@ -46,32 +47,32 @@
 			s.String(&callers, "callers", "127.0.0.1:8080", "where the gateway is to listen for callers", settings.AddrPort)
 			s.String(&readiness, "readiness", "127.0.0.1:8081", "where the gateway is to tell its readiness", settings.AddrPort)
 		},
-		Do: func(ctx context.Context, _ []string) int { return playUsers(ctx, path, callers, readiness) },
+		Do: func(ctx context.Context, _ []string) int { return runUsersPlatform(ctx, path, callers, readiness) },
 	}
 }
 
-// playUsers writes the gateway's settings and plays the platform until the
-// process is told to stop.
-func playUsers(ctx context.Context, path, callers, readiness string) int {
+// runUsersPlatform writes the gateway's settings and simulates the platform until the process
+// receives a signal to stop. It fails if a non-idempotent request ran more than once.
+func runUsersPlatform(ctx context.Context, path, callers, readiness string) int {
 	o := &owner{}
-	defer o.end()
+	defer o.runCleanups()
 	d := standin.NewDeployment(o)
 	if err := os.WriteFile(path, []byte(d.Settings(callers, readiness)), 0o600); err != nil {
-		return report(err)
+		return exitCode(err)
 	}
 	log := logging.New(os.Stderr, "info", "gladegauge-standin", "users-platform")
-	code := program.Run(ctx, log, atOnce(func(ctx context.Context) error {
+	code := program.Run(ctx, log, withoutDrain(func(ctx context.Context) error {
 		<-ctx.Done()
 		return nil
 	}))
 	if twice := d.RanTwice(); len(twice) > 0 {
-		return report(fmt.Errorf("requests that ran twice: %v", twice))
+		return exitCode(fmt.Errorf("requests that ran twice: %v", twice))
 	}
 	return code
 }
 
-// loadCallers is the number of callers that send at the same time.
-const loadCallers = 8
+// concurrentCallers is the number of callers that send concurrently.
+const concurrentCallers = 8
 
 // usersLoadCommand sends a bounded number of requests to a gateway.
 func usersLoadCommand() *program.Command {
@@ -86,23 +87,23 @@
 		},
 		Do: func(ctx context.Context, _ []string) int {
 			var group errgroup.Group
-			for i := range loadCallers {
-				group.Go(func() error { return callMany(ctx, entry, i, requests) })
+			for i := range concurrentCallers {
+				group.Go(func() error { return sendRequests(ctx, entry, i, requests) })
 			}
 			if err := group.Wait(); err != nil {
-				return report(err)
+				return exitCode(err)
 			}
-			fmt.Printf("%d requests, every answer whole and sealed\n", loadCallers*requests) //nolint:forbidigo // The command's output.
+			fmt.Printf("%d requests, every answer whole and sealed\n", concurrentCallers*requests) //nolint:forbidigo // The command's output.
 			return program.ExitOK
 		},
 	}
 }
 
-// callMany sends the requests of one caller; an answer that is not whole and
-// sealed is an error.
-func callMany(ctx context.Context, entry string, caller, requests int) error {
+// sendRequests sends the requests of one caller. It returns an error for the first response
+// that is incomplete, not 200, or lacks the seal of a replica.
+func sendRequests(ctx context.Context, entry string, caller, requests int) error {
 	o := &owner{}
-	defer o.end()
+	defer o.runCleanups()
 	c := standin.NewCaller(o, entry)
 	paths := []string{"/chat/1", "/read/1", "/write/1"}
 	for i := range requests {
@@ -118,7 +119,7 @@
 			return a.Err
 		}
 		if a.Status != 200 || !a.Whole || !a.Sealed() {
-			return fmt.Errorf("request %d of caller %d: status %d, whole %t, sealed %t", i, caller, a.Status, a.Whole, a.Sealed())
+			return fmt.Errorf("request %d of caller %d: status %d, complete %t, sealed %t", i, caller, a.Status, a.Whole, a.Sealed())
 		}
 	}
 	return nil
--- a/internal/standin/engine/answer.go
+++ b/internal/standin/engine/answer.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// request is what the engine reads of a completion request.
+// request holds the fields of a completion request that the engine uses.
 type request struct {
 	Model    string `json:"model"`
 	Messages []struct {
@@ -30,12 +30,14 @@
 	return b.String()
 }
 
-// Answer returns the words of the answer to a prompt.
+// Answer returns the words of the answer to a prompt. They depend on the prompt only. A
+// positive limit sets the number of words, up to maxTokens; otherwise that depends on the
+// prompt too, and one prompt in 16 has an answer eight times as long.
 func Answer(prompt string, limit int) []string {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(prompt))
 	seed := h.Sum64()
-	n := 5 + int(seed%words)
+	n := 5 + int(seed%answerLengthRange)
 	if seed%16 == 0 {
 		n *= 8
 	}
@@ -76,25 +78,25 @@
 	Usage   *usage        `json:"usage,omitempty"`
 }
 
-// events returns the texts of all events of a streamed answer.
+// events returns the data of all events of a streamed answer.
 func (e *Engine) events(id string, q *request, answer []string) []string {
 	stop := "stop"
 	base := chunk{ID: "chatcmpl-" + id, Object: "chat.completion.chunk", Model: q.Model}
-	one := func(d delta, finish *string) string {
+	newEvent := func(d delta, finish *string) string {
 		c := base
 		c.Choices = []chunkChoice{{Delta: d, FinishReason: finish}}
-		return encode(c)
+		return encodeJSON(c)
 	}
-	out := []string{one(delta{Role: "assistant"}, nil)}
+	out := []string{newEvent(delta{Role: "assistant"}, nil)}
 	for _, word := range answer {
-		out = append(out, one(delta{Content: word}, nil))
+		out = append(out, newEvent(delta{Content: word}, nil))
 	}
-	out = append(out, one(delta{}, &stop))
+	out = append(out, newEvent(delta{}, &stop))
 	if q.Options.IncludeUsage {
 		c := base
 		c.Choices = []chunkChoice{}
 		c.Usage = usageOf(q, answer)
-		out = append(out, encode(c))
+		out = append(out, encodeJSON(c))
 	}
 	return append(out, "[DONE]")
 }
@@ -104,7 +106,7 @@
 	return &usage{Prompt: prompt, Completion: len(answer), Total: prompt + len(answer)}
 }
 
-func encode(v any) string {
+func encodeJSON(v any) string {
 	text, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
@@ -112,7 +114,7 @@
 	return string(text)
 }
 
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, q *request, answer []string, resume int) {
+func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, q *request, answer []string, resume int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	out := http.NewResponseController(w)
 	events := e.events(r.Header.Get("X-Request-Id"), q, answer)
@@ -123,7 +125,7 @@
 		if f := e.getFault(); f.CutAfter > 0 && i >= f.CutAfter {
 			panic(http.ErrAbortHandler)
 		}
-		if i > 0 && i <= len(answer) && !e.work(r.Context(), e.o.PerToken) {
+		if i > 0 && i <= len(answer) && !e.simulateWork(r.Context(), e.o.PerToken) {
 			return
 		}
 		if _, err := fmt.Fprintf(w, "data: %s\n\n", text); err != nil {
@@ -133,7 +135,7 @@
 	}
 }
 
-func (e *Engine) whole(w http.ResponseWriter, r *http.Request, q *request, answer []string) {
+func (e *Engine) writeCompletion(w http.ResponseWriter, r *http.Request, q *request, answer []string) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(map[string]any{
 		"id": "chatcmpl-" + r.Header.Get("X-Request-Id"), "object": "chat.completion", "model": q.Model,
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,10 +1,10 @@
-// Package engine is a stand-in for a model engine.
+// Package engine is a test double of a model engine.
 //
-// It runs a number of requests at a time, takes time for the prompt and for
-// each token, keeps a small cache of prompt prefixes, streams its answers,
-// continues an answer at an event, checks fences of orders if told to, and can
-// be made slow, silent or broken. The text of an answer depends on the prompt
-// alone, so that a test can tell whether an answer is complete and its own.
+// It runs a limited number of requests concurrently, simulates the time for the prompt and
+// for each token, keeps a small cache of prompt prefixes, streams its answers, resumes a
+// stream at an event, checks the fencing tokens of orders if configured, and injects faults:
+// slow, hanging or failing responses. The text of an answer depends on the prompt alone, so
+// that a test can tell whether a response is complete and belongs to its request.
 //
 // # Usage
 //
@@ -26,32 +26,32 @@
 	Slots     int
 	PerToken  time.Duration
 	PerPrompt time.Duration
-	// CheckFences makes the engine refuse orders with a fence below the
-	// highest it has seen.
+	// CheckFences makes the engine reject orders whose fencing token is lower than the
+	// highest that it has seen.
 	CheckFences bool
 }
 
-// Fault is how the engine misbehaves.
+// Fault is an injected fault of the engine.
 type Fault struct {
-	// SlowBy multiplies the time of each token; 0 means 1.
+	// SlowBy multiplies the time for the prompt and for each token; 0 means 1.
 	SlowBy float64 `json:"slow_by"`
-	// CutAfter breaks each answer off after so many events; 0 means never.
+	// CutAfter closes the connection of each stream after this many events; 0 means never.
 	CutAfter int `json:"cut_after"`
-	// Hang stops answering.
+	// Hang sends no response to completion requests and health checks.
 	Hang bool `json:"hang"`
-	// Fail answers each request with an error.
+	// Fail rejects each request with status 500.
 	Fail bool `json:"fail"`
-	// Rest refuses each request with 503 and asks for so many seconds of rest; 0 for never.
+	// Rest rejects each request with status 503 and this Retry-After, in seconds; 0 means never.
 	Rest float64 `json:"rest"`
 }
 
 const (
-	cachedPrefixes = 64
-	maxTokens      = 4000
-	words          = 24
+	cachedPrefixes    = 64
+	maxTokens         = 4000
+	answerLengthRange = 24
 )
 
-// Engine is the stand-in. It is safe for concurrent use.
+// Engine is the model engine. It is safe for concurrent use.
 type Engine struct {
 	o     Options
 	slots chan struct{}
@@ -75,16 +75,16 @@
 	e.mux.HandleFunc("POST /v1/orders", e.order)
 	e.mux.HandleFunc("GET /v1/orders", e.listOrders)
 	e.mux.HandleFunc("GET /v1/state", e.getState)
-	e.mux.HandleFunc("GET /healthz", e.healthy)
+	e.mux.HandleFunc("GET /healthz", e.handleHealth)
 	e.mux.HandleFunc("GET /load", e.load)
 	e.mux.HandleFunc("PUT /admin/fault", e.putFault)
 	return e
 }
 
-// ServeHTTP answers a call.
+// ServeHTTP implements http.Handler.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.mux.ServeHTTP(w, r) }
 
-// SetFault makes the engine misbehave.
+// SetFault injects a fault; the zero value ends it.
 func (e *Engine) SetFault(f Fault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -97,8 +97,8 @@
 	return e.fault
 }
 
-// Counts returns the requests that run now, were started, and were dropped by
-// their callers.
+// Counts returns the number of requests that are running, that were started so far, and
+// that their callers cancelled.
 func (e *Engine) Counts() (running, started, dropped int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -114,7 +114,7 @@
 	e.SetFault(f)
 }
 
-func (e *Engine) healthy(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleHealth(w http.ResponseWriter, r *http.Request) {
 	if e.getFault().Hang {
 		<-r.Context().Done()
 		return
@@ -152,15 +152,15 @@
 	}
 	resume, _ := strconv.Atoi(r.Header.Get("Resume-Offset"))
 	answer := Answer(q.prompt(), q.MaxTokens)
-	if !e.work(r.Context(), e.promptTime(q.prompt())) {
+	if !e.simulateWork(r.Context(), e.prefillTime(q.prompt())) {
 		return
 	}
 	if q.Stream {
-		e.stream(w, r, &q, answer, resume)
+		e.writeStream(w, r, &q, answer, resume)
 		return
 	}
-	if e.work(r.Context(), time.Duration(len(answer))*e.o.PerToken) {
-		e.whole(w, r, &q, answer)
+	if e.simulateWork(r.Context(), time.Duration(len(answer))*e.o.PerToken) {
+		e.writeCompletion(w, r, &q, answer)
 	}
 }
 
@@ -173,13 +173,14 @@
 	}
 }
 
-// promptTime is shorter for a prompt whose prefix is cached.
-func (e *Engine) promptTime(prompt string) time.Duration {
+// prefillTime returns the processing time of a prompt, which is shorter if its prefix is
+// cached, and adds the prefix to the cache.
+func (e *Engine) prefillTime(prompt string) time.Duration {
 	prefix := prompt[:min(len(prompt), 256)]
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for i, held := range e.cache {
-		if held == prefix {
+	for i, cached := range e.cache {
+		if cached == prefix {
 			e.cache = append(append(e.cache[:i:i], e.cache[i+1:]...), prefix)
 			return e.o.PerPrompt / 4
 		}
@@ -191,8 +192,9 @@
 	return e.o.PerPrompt
 }
 
-// work lets the time pass that a step takes; false if the caller left.
-func (e *Engine) work(ctx context.Context, d time.Duration) bool {
+// simulateWork waits for the time that a step takes. It returns false if the caller cancelled
+// the request.
+func (e *Engine) simulateWork(ctx context.Context, d time.Duration) bool {
 	f := e.getFault()
 	if f.Hang {
 		<-ctx.Done()
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// Order is one fenced order that the engine took.
+// Order is a control command with a fencing token that the engine accepted.
 type Order struct {
 	Fence string `json:"fence"`
 	Kind  string `json:"kind"`
 	Name  string `json:"name"`
 }
 
-// State is what the engine has loaded.
+// State is the model version, the adapters and the role that the engine runs with.
 type State struct {
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters"`
@@ -47,7 +47,7 @@
 	}
 }
 
-// State returns what is loaded.
+// State returns a copy of the current state.
 func (e *Engine) State() State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -60,7 +60,7 @@
 	_ = json.NewEncoder(w).Encode(e.State())
 }
 
-// Orders returns the orders that were taken.
+// Orders returns the accepted orders.
 func (e *Engine) Orders() []Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/load/load.go
+++ b/internal/standin/load/load.go
@@ -1,4 +1,5 @@
-// Package load sends a bounded mix of requests and checks every answer.
+// Package load is a load generator that sends a mix of requests for a limited time and
+// checks every response.
 //
 // # Usage
 //
@@ -25,34 +26,34 @@
 	"github.com/gladegauge/gladegauge/internal/standin/service"
 )
 
-// Kind is one class of requests in a mix.
-type Kind struct {
+// Workload describes the requests of one class in a mix.
+type Workload struct {
 	Class string
-	// Target is a model, or a plain service.
+	// Target is the name of a model or, if Service is set, of a plain service.
 	Target  string
 	Service bool
-	// PerSecond is the rate over all organisations.
+	// PerSecond is the request rate over all organisations.
 	PerSecond float64
 	Tokens    int
 	Streamed  bool
-	// FirstToken or Completion is the latency target.
+	// FirstToken and Completion are latency targets. Completion applies if FirstToken is 0.
 	FirstToken time.Duration
 	Completion time.Duration
 }
 
-// Deployment is the mix of one user.
+// Deployment is the request mix of one example deployment.
 type Deployment struct {
-	Name  string
-	Keys  []string
-	Kinds []Kind
+	Name      string
+	Keys      []string
+	Workloads []Workload
 }
 
-// Tallowbark returns the mix of the carrier deployment.
+// Tallowbark returns the request mix of the carrier deployment.
 func Tallowbark() Deployment {
 	return Deployment{
 		Name: "tallowbark",
 		Keys: []string{"demo-tallowbark-coast-mobile", "demo-tallowbark-gympie-sims", "demo-tallowbark-noosa-connect"},
-		Kinds: []Kind{
+		Workloads: []Workload{
 			{Class: "counter", Target: "carrier-assist", PerSecond: 5, Tokens: 20, Streamed: true, FirstToken: 1500 * time.Millisecond},
 			{Class: "kiosk", Target: "carrier-assist", PerSecond: 5, Tokens: 12, FirstToken: 1500 * time.Millisecond},
 			{Class: "overnight", Target: "carrier-assist", PerSecond: 2, Tokens: 80, Streamed: true, Completion: 10 * time.Minute},
@@ -61,12 +62,12 @@
 	}
 }
 
-// Salish returns the mix of the tournament deployment.
+// Salish returns the request mix of the tournament deployment.
 func Salish() Deployment {
 	return Deployment{
 		Name: "salish",
 		Keys: []string{"demo-salish-van-hall", "demo-salish-hope-tables", "demo-salish-delta-juniors"},
-		Kinds: []Kind{
+		Workloads: []Workload{
 			{Class: "ruling", Target: "judge", PerSecond: 5, Tokens: 25, Streamed: true, FirstToken: 1500 * time.Millisecond},
 			{Class: "decklist", Target: "judge", PerSecond: 4, Tokens: 16, FirstToken: 4 * time.Second},
 			{Class: "event-report", Target: "judge", PerSecond: 2, Tokens: 80, Completion: 10 * time.Minute},
@@ -87,17 +88,17 @@
 	HTTP  *http.Client
 }
 
-// Run sends the mix for the duration and waits for all answers.
+// Run sends the mix for the duration and waits for all responses.
 func Run(ctx context.Context, o Options) *Report {
 	rep := newReport(o.Deployment)
 	if o.Scale == 0 {
 		o.Scale = 1
 	}
 	var group errgroup.Group
-	for i, k := range o.Deployment.Kinds {
-		rng := rand.New(rand.NewPCG(o.Seed, uint64(i))) //nolint:gosec // A fixed seed is the point.
+	for i, w := range o.Deployment.Workloads {
+		rng := rand.New(rand.NewPCG(o.Seed, uint64(i))) //nolint:gosec // The sequence must be reproducible.
 		group.Go(func() error {
-			sendKind(ctx, &o, k, rng, rep)
+			sendWorkload(ctx, &o, w, rng, rep)
 			return nil
 		})
 	}
@@ -105,88 +106,89 @@
 	return rep
 }
 
-// sendKind sends one class's requests at random times.
-func sendKind(ctx context.Context, o *Options, k Kind, rng *rand.Rand, rep *Report) {
+// sendWorkload sends the requests of one class as a Poisson process, without waiting for
+// earlier responses.
+func sendWorkload(ctx context.Context, o *Options, w Workload, rng *rand.Rand, rep *Report) {
 	var group errgroup.Group
 	end := time.Now().Add(o.Duration)
 	for n := 0; time.Now().Before(end) && ctx.Err() == nil; n++ {
-		gap := time.Duration(rng.ExpFloat64() / (k.PerSecond * o.Scale) * float64(time.Second))
+		gap := time.Duration(rng.ExpFloat64() / (w.PerSecond * o.Scale) * float64(time.Second))
 		t := time.NewTimer(gap)
 		select {
 		case <-t.C:
 		case <-ctx.Done():
 		}
 		t.Stop()
-		one := shot{
-			kind:  k,
-			id:    fmt.Sprintf("%s-%s-%d-%d", o.Deployment.Name, k.Class, o.Seed, n),
-			entry: o.Entries[rng.IntN(len(o.Entries))],
-			key:   o.Deployment.Keys[rng.IntN(len(o.Deployment.Keys))],
-			http:  o.HTTP,
+		tr := testRequest{
+			workload: w,
+			id:       fmt.Sprintf("%s-%s-%d-%d", o.Deployment.Name, w.Class, o.Seed, n),
+			entry:    o.Entries[rng.IntN(len(o.Entries))],
+			key:      o.Deployment.Keys[rng.IntN(len(o.Deployment.Keys))],
+			http:     o.HTTP,
 		}
 		group.Go(func() error {
-			rep.add(one.fire(ctx))
+			rep.add(tr.send(ctx))
 			return nil
 		})
 	}
 	_ = group.Wait()
 }
 
-// shot is one request.
-type shot struct {
-	kind  Kind
-	id    string
-	entry string
-	key   string
-	http  *http.Client
+// testRequest is one request of a workload.
+type testRequest struct {
+	workload Workload
+	id       string
+	entry    string
+	key      string
+	http     *http.Client
 }
 
-// result is what became of a shot.
+// result is the outcome of a request.
 type result struct {
-	class     string
-	completed bool
-	notRun    bool
-	unknown   bool
-	met       bool
-	first     time.Duration
-	// wrong says what broke a promise, such as another's answer.
-	wrong string
+	class      string
+	completed  bool
+	notRun     bool
+	unknown    bool
+	metTarget  bool
+	firstToken time.Duration
+	// violation describes a violated guarantee, such as a response to another request.
+	violation string
 }
 
-func (s *shot) fire(ctx context.Context) result {
-	res := result{class: s.kind.Class}
+func (t *testRequest) send(ctx context.Context) result {
+	res := result{class: t.workload.Class}
 	start := time.Now()
-	resp, err := s.http.Do(s.request(ctx))
+	resp, err := t.http.Do(t.request(ctx))
 	if err != nil {
 		res.unknown = true
 		return res
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return refused(res, resp)
+		return errorResult(res, resp)
 	}
-	text, first, err := s.read(resp, start)
+	text, firstToken, err := t.read(resp, start)
 	if err != nil {
 		res.unknown = true
 		return res
 	}
 	res.completed = true
-	res.first = first
-	res.met = s.met(first, time.Since(start))
-	if want := s.want(); text != want {
-		res.wrong = fmt.Sprintf("%s: answer %q is not %q", s.id, text, want)
+	res.firstToken = firstToken
+	res.metTarget = t.metTarget(firstToken, time.Since(start))
+	if want := t.want(); text != want {
+		res.violation = fmt.Sprintf("%s: got answer %q, want %q", t.id, text, want)
 	}
 	return res
 }
 
-func (s *shot) met(first, whole time.Duration) bool {
-	if s.kind.FirstToken > 0 {
-		return first <= s.kind.FirstToken
+func (t *testRequest) metTarget(firstToken, total time.Duration) bool {
+	if t.workload.FirstToken > 0 {
+		return firstToken <= t.workload.FirstToken
 	}
-	return whole <= s.kind.Completion
+	return total <= t.workload.Completion
 }
 
-func refused(res result, resp *http.Response) result {
+func errorResult(res result, resp *http.Response) result {
 	var body struct {
 		Error struct {
 			Code           string `json:"code"`
@@ -195,55 +197,55 @@
 		} `json:"error"`
 	}
 	if err := json.NewDecoder(resp.Body).Decode(&body); err != nil {
-		res.wrong = "an error that is not JSON: " + resp.Status
+		res.violation = "error response is not JSON: " + resp.Status
 		return res
 	}
 	res.notRun = body.Error.NotRun
 	res.unknown = !body.Error.NotRun
 	if resp.StatusCode < http.StatusInternalServerError && resp.StatusCode != http.StatusTooManyRequests {
-		res.wrong = "unexpected " + body.Error.Code
+		res.violation = "unexpected " + body.Error.Code
 	}
 	return res
 }
 
-func (s *shot) prompt() string { return "request " + s.id }
+func (t *testRequest) prompt() string { return "request " + t.id }
 
-func (s *shot) want() string {
-	if s.kind.Service {
-		return s.id
+func (t *testRequest) want() string {
+	if t.workload.Service {
+		return t.id
 	}
-	return strings.Join(engine.Answer(s.prompt()+"\n", s.kind.Tokens), "")
+	return strings.Join(engine.Answer(t.prompt()+"\n", t.workload.Tokens), "")
 }
 
-func (s *shot) request(ctx context.Context) *http.Request {
+func (t *testRequest) request(ctx context.Context) *http.Request {
 	path, body := "/v1/chat/completions", any(map[string]any{
-		"model": s.kind.Target, "stream": s.kind.Streamed, "max_tokens": s.kind.Tokens,
-		"messages": []map[string]string{{"role": "user", "content": s.prompt()}},
+		"model": t.workload.Target, "stream": t.workload.Streamed, "max_tokens": t.workload.Tokens,
+		"messages": []map[string]string{{"role": "user", "content": t.prompt()}},
 	})
-	if s.kind.Service {
-		path, body = "/services/"+s.kind.Target+"/tickets", service.Ticket{ID: s.id}
+	if t.workload.Service {
+		path, body = "/services/"+t.workload.Target+"/tickets", service.Ticket{ID: t.id}
 	}
 	text, err := json.Marshal(body)
 	if err != nil {
 		panic(err)
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.entry+path, bytes.NewReader(text))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, t.entry+path, bytes.NewReader(text))
 	if err != nil {
 		panic(err)
 	}
-	req.Header.Set("Authorization", "Bearer "+s.key)
-	req.Header.Set("X-Gladegauge-Class", s.kind.Class)
+	req.Header.Set("Authorization", "Bearer "+t.key)
+	req.Header.Set("X-Gladegauge-Class", t.workload.Class)
 	req.Header.Set("Content-Type", "application/json")
 	return req
 }
 
-func (s *shot) read(resp *http.Response, start time.Time) (string, time.Duration, error) {
+func (t *testRequest) read(resp *http.Response, start time.Time) (string, time.Duration, error) {
 	switch {
-	case s.kind.Service:
+	case t.workload.Service:
 		var a service.Answer
 		err := json.NewDecoder(resp.Body).Decode(&a)
 		return a.ID, time.Since(start), err
-	case s.kind.Streamed:
+	case t.workload.Streamed:
 		return readStream(resp.Body, start)
 	default:
 		var a struct {
@@ -263,7 +265,7 @@
 
 func readStream(body io.Reader, start time.Time) (string, time.Duration, error) {
 	var text strings.Builder
-	var first time.Duration
+	var firstToken time.Duration
 	r := bufio.NewScanner(body)
 	for r.Scan() {
 		data, ok := strings.CutPrefix(r.Text(), "data: ")
@@ -271,7 +273,7 @@
 			continue
 		}
 		if data == "[DONE]" {
-			return text.String(), first, nil
+			return text.String(), firstToken, nil
 		}
 		var c struct {
 			Choices []struct {
@@ -283,8 +285,8 @@
 		if err := json.Unmarshal([]byte(data), &c); err != nil {
 			return "", 0, err
 		}
-		if first == 0 {
-			first = time.Since(start)
+		if firstToken == 0 {
+			firstToken = time.Since(start)
 		}
 		for _, choice := range c.Choices {
 			text.WriteString(choice.Delta.Content)
@@ -295,22 +297,22 @@
 
 // Report counts the results of a run by class. It is safe for concurrent use.
 type Report struct {
-	mu      sync.Mutex
-	order   []string
-	classes map[string]*counts
-	Wrong   []string
+	mu         sync.Mutex
+	order      []string
+	classes    map[string]*counts
+	Violations []string
 }
 
 type counts struct {
-	sent, completed, notRun, unknown, met int
-	firsts                                []time.Duration
+	sent, completed, notRun, unknown, metTarget int
+	firstTokens                                 []time.Duration
 }
 
 func newReport(d Deployment) *Report {
 	r := &Report{classes: make(map[string]*counts)}
-	for _, k := range d.Kinds {
-		r.order = append(r.order, k.Class)
-		r.classes[k.Class] = &counts{}
+	for _, w := range d.Workloads {
+		r.order = append(r.order, w.Class)
+		r.classes[w.Class] = &counts{}
 	}
 	return r
 }
@@ -320,15 +322,15 @@
 	defer r.mu.Unlock()
 	c := r.classes[res.class]
 	c.sent++
-	if res.wrong != "" {
-		r.Wrong = append(r.Wrong, res.wrong)
+	if res.violation != "" {
+		r.Violations = append(r.Violations, res.violation)
 	}
 	switch {
 	case res.completed:
 		c.completed++
-		c.firsts = append(c.firsts, res.first)
-		if res.met {
-			c.met++
+		c.firstTokens = append(c.firstTokens, res.firstToken)
+		if res.metTarget {
+			c.metTarget++
 		}
 	case res.notRun:
 		c.notRun++
--- a/internal/standin/load/table.go
+++ b/internal/standin/load/table.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Print writes a line for each class.
+// Print writes a table with a line for each class.
 func (r *Report) Print(w io.Writer) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -18,15 +18,15 @@
 		c := r.classes[name]
 		attainment := 0.0
 		if c.sent > 0 {
-			attainment = float64(c.met) / float64(c.sent)
+			attainment = float64(c.metTarget) / float64(c.sent)
 		}
 		_, _ = fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%.3f\t%s\t%s\t\n", name, c.sent, c.completed, c.notRun, c.unknown,
-			attainment, quantile(c.firsts, 0.5), quantile(c.firsts, 0.95))
+			attainment, quantile(c.firstTokens, 0.5), quantile(c.firstTokens, 0.95))
 	}
 	return t.Flush()
 }
 
-// Completed returns the number of complete answers.
+// Completed returns the number of requests with a complete response.
 func (r *Report) Completed() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/publish/publish.go
+++ b/internal/standin/publish/publish.go
@@ -1,5 +1,5 @@
-// Package publish plays the operators' pipeline, the only one who writes to the
-// platform's service.
+// Package publish simulates the operators' pipeline, the only writer to the platform's
+// configuration service.
 //
 // # Usage
 //
@@ -25,16 +25,16 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// Options are what to publish, and where.
+// Options select what to publish, and the service to publish to.
 type Options struct {
 	Platform string
-	// Values is a folder that gladegauge-ctl build wrote; empty for none.
+	// Values is a folder written by gladegauge-ctl build; empty for none.
 	Values string
-	// Hosts is a YAML list of host lists; empty for none.
+	// Hosts is a YAML file with a list of host lists; empty for none.
 	Hosts string
 }
 
-// Run publishes host lists, then shards, and the manifest last.
+// Run publishes the host lists, then the values, and the manifest last.
 func Run(ctx context.Context, o Options) error {
 	if o.Hosts != "" {
 		if err := publishHosts(ctx, o); err != nil {
--- a/internal/standin/published/published.go
+++ b/internal/standin/published/published.go
@@ -1,8 +1,8 @@
-// Package published is a stand-in for the platform's configuration service.
+// Package published is a test double of the platform's configuration service.
 //
-// It holds values with rising versions, answers reads and waiting watches,
-// counts every call, and can be made to fail. Only the operators' pipeline,
-// here the stand-in's publish command, writes to it.
+// It stores values with increasing versions, answers reads and long polls, counts the
+// calls, and injects faults. Only the operators' pipeline writes to the service; the publish
+// command of gladegauge-standin simulates it.
 //
 // # Usage
 //
@@ -20,7 +20,7 @@
 	"github.com/gladegauge/gladegauge/internal/edge/platform"
 )
 
-// Fault is how the service misbehaves.
+// Fault is an injected fault of the service.
 type Fault string
 
 // Faults of the service.
@@ -28,11 +28,11 @@
 	None Fault = ""
 	// Down answers every call with an error.
 	Down Fault = "down"
-	// Hang answers no call until the caller gives up.
+	// Hang sends no response until the caller gives up.
 	Hang Fault = "hang"
-	// Truncate cuts every value in half.
+	// Truncate returns only the first half of every value.
 	Truncate Fault = "truncate"
-	// Backwards answers with the version before the newest.
+	// Backwards returns the version before the newest.
 	Backwards Fault = "backwards"
 )
 
@@ -46,7 +46,7 @@
 	data    []byte
 }
 
-// Service is the stand-in. It is safe for concurrent use.
+// Service is the configuration service. It is safe for concurrent use.
 type Service struct {
 	mu      sync.Mutex
 	values  map[string][]value
@@ -71,10 +71,10 @@
 	return s
 }
 
-// ServeHTTP answers a call.
+// ServeHTTP implements http.Handler.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// Put publishes a value.
+// Put publishes a new version of a value and wakes the long polls.
 func (s *Service) Put(name string, data []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,14 +84,14 @@
 	s.changed = make(chan struct{})
 }
 
-// SetFault makes the service misbehave.
+// SetFault injects a fault; None ends it.
 func (s *Service) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// Calls returns the number of reads and watches so far.
+// Calls returns the number of reads and long polls so far.
 func (s *Service) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,8 +120,9 @@
 	_ = json.NewEncoder(w).Encode(s.Calls())
 }
 
-// newest returns the value above a version, what signals the next change, and
-// the fault.
+// newest returns the newest value of a name, whether there is one, whether it is newer than
+// the version after, a channel that the next change closes, and the current fault. The
+// Backwards fault counts its older value as newer.
 func (s *Service) newest(name string, after uint64) (v value, known, newer bool, changed <-chan struct{}, f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,7 +148,7 @@
 	defer deadline.Stop()
 	for {
 		v, known, newer, changed, fault := s.newest(name, after)
-		if s.failed(w, r, fault) {
+		if s.injectFault(w, r, fault) {
 			return
 		}
 		if known && newer {
@@ -169,8 +170,8 @@
 	}
 }
 
-// failed answers as the fault says.
-func (s *Service) failed(w http.ResponseWriter, r *http.Request, f Fault) bool {
+// injectFault fails the request if the fault asks for it. It reports whether it did.
+func (s *Service) injectFault(w http.ResponseWriter, r *http.Request, f Fault) bool {
 	switch f {
 	case Down:
 		http.Error(w, "the service is down", http.StatusServiceUnavailable)
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,5 +1,5 @@
-// Package service is a stand-in for a plain service whose calls may not be
-// repeated. It counts how often it ran each ticket.
+// Package service is a test double of a plain service with non-idempotent calls. It counts
+// how often it ran each ticket.
 //
 // # Usage
 //
@@ -15,15 +15,15 @@
 	"time"
 )
 
-// Fault is how the service misbehaves.
+// Fault is an injected fault of the service.
 type Fault string
 
 // Faults of the service.
 const (
 	None Fault = ""
-	// DropAnswer runs the call and breaks the connection off.
+	// DropAnswer runs the call and closes the connection without a response.
 	DropAnswer Fault = "drop_answer"
-	// Hang runs the call and never answers.
+	// Hang runs the call and sends no response until the caller gives up.
 	Hang Fault = "hang"
 )
 
@@ -32,25 +32,25 @@
 	ID string `json:"id"`
 }
 
-// Answer is the answer to a call.
+// Answer is the body of a response.
 type Answer struct {
 	ID   string `json:"id"`
 	Runs int    `json:"runs"`
 }
 
-// Service is the stand-in. It is safe for concurrent use.
+// Service is the plain service. It is safe for concurrent use.
 type Service struct {
-	takes time.Duration
-	mux   *http.ServeMux
+	latency time.Duration
+	mux     *http.ServeMux
 
 	mu    sync.Mutex
 	runs  map[string]int
 	fault Fault
 }
 
-// New returns a service whose calls take the given time.
-func New(takes time.Duration) *Service {
-	s := &Service{takes: takes, runs: make(map[string]int), mux: http.NewServeMux()}
+// New returns a service whose calls take the given latency.
+func New(latency time.Duration) *Service {
+	s := &Service{latency: latency, runs: make(map[string]int), mux: http.NewServeMux()}
 	s.mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok\n")) })
 	s.mux.HandleFunc("GET /admin/runs", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(s.Runs()) })
 	s.mux.HandleFunc("PUT /admin/fault", func(_ http.ResponseWriter, r *http.Request) {
@@ -61,17 +61,17 @@
 	return s
 }
 
-// ServeHTTP answers a call.
+// ServeHTTP implements http.Handler.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// SetFault makes the service misbehave.
+// SetFault injects a fault; None ends it.
 func (s *Service) SetFault(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// Runs returns how often each ticket ran.
+// Runs returns the number of runs of each ticket.
 func (s *Service) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,7 +88,7 @@
 	s.runs[t.ID]++
 	runs, fault := s.runs[t.ID], s.fault
 	s.mu.Unlock()
-	timer := time.NewTimer(s.takes)
+	timer := time.NewTimer(s.latency)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/scripts/stack.sh
+++ b/scripts/stack.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Starts a small deployment as separate processes on loopback, and ends only
-# what it started.
-#   scripts/stack.sh demo   both deployments and a gateway in turn, with a checked load
-#   scripts/stack.sh up     one deployment until interrupted
+# Starts a small deployment as separate processes on the loopback interface, and stops only
+# the processes that it started.
+#   scripts/stack.sh demo   both deployments and a gateway in turn, each with a verified load
+#   scripts/stack.sh up     one deployment, until interrupted
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
