--- a/internal/e2e/failure_test.go
+++ b/internal/e2e/failure_test.go
@@ -146,7 +146,7 @@
 func TestRestingEngine(t *testing.T) {
 	is := is.New(t)
 	s, e := newTwoAgents(t)
-	s.engines["agent-1"].SetFault(engine.Fault{Rest: 60})
+	s.engines["agent-1"].SetFault(engine.Fault{RetryAfter: 60})
 	for i := range 20 {
 		prompt := fmt.Sprint("ruling ", i)
 		got := send("POST", e.url("listen")+"/v1/chat/completions", salishKey, chatBody(prompt, 5, true))
@@ -156,7 +156,7 @@
 	}
 	_, started, _ := s.engines["agent-1"].Counts()
 	is.True(started <= 2)
-	s.engines["agent-2"].SetFault(engine.Fault{Rest: 60})
+	s.engines["agent-2"].SetFault(engine.Fault{RetryAfter: 60})
 	for range 3 {
 		send("POST", e.url("listen")+"/v1/chat/completions", salishKey, chatBody("x", 5, true))
 	}
--- a/internal/edge/gatewayd/backup_test.go
+++ b/internal/edge/gatewayd/backup_test.go
@@ -26,14 +26,14 @@
 		runs   int
 	}{
 		{"broken off", standin.Reply{Events: events, CutAfter: 1}, standin.Reply{Events: events}, true, 2},
-		{"silent", standin.Reply{Events: events, CutAfter: 1, Mute: true}, standin.Reply{Events: events}, true, 2},
-		{"inside an event", standin.Reply{Events: events, CutAfter: 2, CutInside: true}, standin.Reply{Events: events}, true, 2},
+		{"silent", standin.Reply{Events: events, CutAfter: 1, Stall: true}, standin.Reply{Events: events}, true, 2},
+		{"inside an event", standin.Reply{Events: events, CutAfter: 2, CutMidEvent: true}, standin.Reply{Events: events}, true, 2},
 		{"after its last event", standin.Reply{Events: events, CutAfter: 3}, standin.Reply{Events: events}, true, 2},
-		{"silent after its last event", standin.Reply{Events: events, CutAfter: 3, Mute: true}, standin.Reply{Events: events}, true, 2},
-		{"inside what follows its last event", standin.Reply{Events: events, CutAfter: 3, CutInside: true}, standin.Reply{Events: events}, true, 2},
+		{"silent after its last event", standin.Reply{Events: events, CutAfter: 3, Stall: true}, standin.Reply{Events: events}, true, 2},
+		{"inside what follows its last event", standin.Reply{Events: events, CutAfter: 3, CutMidEvent: true}, standin.Reply{Events: events}, true, 2},
 		{"after its last event, no copy there", standin.Reply{Events: events, CutAfter: 3}, standin.Reply{Refuse: true}, false, 1},
 		{"no copy there", standin.Reply{Events: events, CutAfter: 1}, standin.Reply{Refuse: true}, false, 1},
-		{"before its first event", standin.Reply{Nonsense: true}, standin.Reply{Events: events}, false, 1},
+		{"before its first event", standin.Reply{Malformed: true}, standin.Reply{Events: events}, false, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -51,7 +51,7 @@
 			a := w.caller.Call(context.Background(), standin.Request{
 				ID: "r-7", Host: "x.example", URI: "/chat/1", Key: "key-a", Body: "hello", DeadlineMs: 1900,
 				// The answer is long beside the prompt.
-				Tokens: "300,400", Parts: "5c1e:200,91bd:100",
+				Tokens: "300,400", PromptParts: "5c1e:200,91bd:100",
 				// Not for callers to say.
 				FetchFrom: forged, BackupAt: forged, ContinueFrom: forged + "/other",
 			})
--- a/internal/edge/gatewayd/busy_test.go
+++ b/internal/edge/gatewayd/busy_test.go
@@ -33,7 +33,7 @@
 	w.await(func() bool { return w.upstreams() == 1 && w.readiness() == 200 })
 	prompt := func(i int) standin.Request {
 		return standin.Request{ID: fmt.Sprintf("r-%d", i), Host: "x.example", URI: "/chat/1", Key: "key-a", Body: "hello",
-			DeadlineMs: 2000, Tokens: "9000,50", Parts: fmt.Sprintf("5:6000,%d:3000", 10+i)}
+			DeadlineMs: 2000, Tokens: "9000,50", PromptParts: fmt.Sprintf("5:6000,%d:3000", 10+i)}
 	}
 	first := make(chan standin.Answer, 1)
 	w.group.Go(func() error {
@@ -52,7 +52,7 @@
 	w.await(func() bool { return time.Since(sent) > 600*time.Millisecond })
 	a := w.caller.Call(context.Background(), prompt(2))
 	is.Equal(a.Status, 503)
-	is.True(a.ComeBack() > time.Second)
+	is.True(a.RetryAfter() > time.Second)
 	is.Equal(len(w.ran()), 1)
 	w.await(func() bool { return strings.Contains(w.logs.String(), `"reason":"pool_busy"`) })
 	is.True(strings.Contains(w.logs.String(), `"message":"pool is too busy"`))
--- a/internal/edge/gatewayd/crash_test.go
+++ b/internal/edge/gatewayd/crash_test.go
@@ -65,7 +65,7 @@
 	defer cancel()
 	return w.callers[gateway].Call(ctx, standin.Request{
 		ID: fmt.Sprintf("r-%d", w.calls), Host: "x.example", URI: uri, Key: "key-a",
-		Body: body, DeadlineMs: 1500, Tokens: "10,10", Parts: fmt.Sprintf("%d:10", w.calls),
+		Body: body, DeadlineMs: 1500, Tokens: "10,10", PromptParts: fmt.Sprintf("%d:10", w.calls),
 	})
 }
 
@@ -73,7 +73,7 @@
 func (w *crashWorld) ended() int {
 	n := 0
 	for _, r := range w.replicas {
-		if r.Ended() {
+		if r.Crashed() {
 			n++
 		}
 	}
@@ -130,7 +130,7 @@
 	for i := range w.peers {
 		a := w.send(i, "/chat/1", killer)
 		w.is.Equal(a.Status, http.StatusBadRequest)
-		w.is.Equal(a.ComeBack(), time.Duration(0))
+		w.is.Equal(a.RetryAfter(), time.Duration(0))
 		w.is.True(!a.Sealed())
 		w.is.Equal(w.send(i, "/chat/1", "another body").Status, http.StatusOK)
 		w.is.Equal(w.send(i, "/chat/2", "hello").Status, http.StatusOK)
--- a/internal/edge/gatewayd/evacuation_test.go
+++ b/internal/edge/gatewayd/evacuation_test.go
@@ -70,20 +70,20 @@
 		{name: "a configuration follows", then: func(w *world) { w.store.PutConfig(configuration(2)) }},
 		{name: "its upstream begins to leave", then: func(w *world) { w.store.PutReplica(w.replicas[1], "app", true) }},
 		{name: "the store forgets its history", then: func(w *world) { w.store.Compact() }},
-		{name: "taken back", back: true, then: func(w *world) { w.store.TakeBack("b") }},
+		{name: "taken back", back: true, then: func(w *world) { w.store.EndEvacuation("b") }},
 		{name: "taken back and evacuated again", then: func(w *world) {
-			w.store.TakeBack("b")
+			w.store.EndEvacuation("b")
 			w.store.Evacuate("b")
 		}},
 		{name: "taken back while the store forgets", back: true, then: func(w *world) {
-			w.store.Deafen()
-			w.store.TakeBack("b")
-			w.store.Forget()
+			w.store.SuppressNotifications()
+			w.store.EndEvacuation("b")
+			w.store.CompactSilently()
 		}},
 		{name: "another one overlaps, and is taken back", then: func(w *world) {
 			w.listIn("c", "i-c")
 			w.store.Evacuate("c")
-			w.store.TakeBack("c")
+			w.store.EndEvacuation("c")
 			w.await(func() bool { return w.upstreams() == 2 })
 		}},
 	}
@@ -133,14 +133,14 @@
 	w := newZones(t, "x", "b", "c")
 	w.store.Evacuate("b")
 	w.await(func() bool { return w.upstreams() == 2 })
-	w.store.SetTrouble(standin.Busy)
-	w.store.TakeBack("b")
+	w.store.SetFault(standin.Unavailable)
+	w.store.EndEvacuation("b")
 	w.store.Evacuate("c")
 	w.await(func() bool { return w.storeLost() })
 	before := w.ranIn("b")
 	w.is.Equal(w.callMany(10), 10)
 	w.is.Equal(w.ranIn("b"), before)
-	w.store.SetTrouble(standin.Well)
+	w.store.SetFault(standin.NoFault)
 	w.await(func() bool { return w.openIn("b") == 1 && w.openIn("c") == 0 })
 }
 
@@ -156,7 +156,7 @@
 	w.await(func() bool { return w.upstreams() == 0 })
 	a := w.call("/read/1")
 	w.is.Equal(a.Status, 503)
-	w.is.True(a.ComeBack() > 0)
+	w.is.True(a.RetryAfter() > 0)
 	w.is.Equal(len(w.ran()), 0)
 }
 
@@ -181,6 +181,6 @@
 	third := startPeer(t, w.store, first.PeersAddress())
 	w.await(func() bool { return open(third, "x") })
 	w.is.True(!open(third, "b"))
-	w.store.TakeBack("b")
+	w.store.EndEvacuation("b")
 	w.await(func() bool { return open(first, "b") && open(second, "b") && open(third, "b") })
 }
--- a/internal/edge/gatewayd/failure_test.go
+++ b/internal/edge/gatewayd/failure_test.go
@@ -44,7 +44,7 @@
 // The gateway itself notes a replica whose port refuses, and tells of it.
 func TestRefusedConnectionIsTold(t *testing.T) {
 	w := newWorld(t, 1, fine)
-	w.store.PutAddress("i-dead", closedAddress(t), "app")
+	w.store.PutReplicaAddress("i-dead", closedAddress(t), "app")
 	w.await(func() bool { return w.upstreams() == 2 })
 	w.await(func() bool {
 		w.is.Equal(w.call("/read/1").Status, 200)
--- a/internal/edge/gatewayd/leaving_test.go
+++ b/internal/edge/gatewayd/leaving_test.go
@@ -22,29 +22,29 @@
 		name  string
 		reply standin.Reply
 	}{
-		{"with an answer", standin.Reply{Body: "done", Lines: leavingLine}},
-		{"with a stream", standin.Reply{Events: []string{"a", "b"}, Lines: leavingLine}},
-		{"with an error", standin.Reply{Status: 500, Lines: leavingLine}},
-		{"with a refusal", standin.Reply{Refuse: true, Lines: leavingLine}},
-		{"with an answer that is cut off", standin.Reply{Body: "done", CutAfter: 1, Lines: leavingLine}},
-		{"with an answer in the place of another one", standin.Reply{Body: "done", Foreign: true, Lines: leavingLine}},
-		{"with an interim answer", standin.Reply{Body: "done", Before: "HTTP/1.1 103 Early Hints\r\n" + leavingLine + "\r\n"}},
+		{"with an answer", standin.Reply{Body: "done", HeaderLines: leavingLine}},
+		{"with a stream", standin.Reply{Events: []string{"a", "b"}, HeaderLines: leavingLine}},
+		{"with an error", standin.Reply{Status: 500, HeaderLines: leavingLine}},
+		{"with a refusal", standin.Reply{Refuse: true, HeaderLines: leavingLine}},
+		{"with an answer that is cut off", standin.Reply{Body: "done", CutAfter: 1, HeaderLines: leavingLine}},
+		{"with an answer in the place of another one", standin.Reply{Body: "done", ForeignFirst: true, HeaderLines: leavingLine}},
+		{"with an interim answer", standin.Reply{Body: "done", Interim: "HTTP/1.1 103 Early Hints\r\n" + leavingLine + "\r\n"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			w := newWorld(t, 3, func(int, standin.Request) standin.Reply { return tt.reply })
-			w.store.SetTrouble(standin.Silent)
+			w.store.SetFault(standin.Silent)
 			for range 3 {
 				w.call("/write/1") // each upstream says so once
 			}
 			for range 5 {
 				a := w.call("/write/1")
 				is.Equal(a.Status, 503)
-				is.True(a.ComeBack() > 0)
+				is.True(a.RetryAfter() > 0)
 			}
 			for _, r := range w.replicas {
-				is.True(len(r.Arrived()) <= 1)
+				is.True(len(r.Received()) <= 1)
 			}
 		})
 	}
--- a/internal/edge/gatewayd/limit_test.go
+++ b/internal/edge/gatewayd/limit_test.go
@@ -36,13 +36,13 @@
 		name  string
 		reply standin.Reply
 	}{
-		{"with an answer", standin.Reply{Body: "done", Lines: limitLine}},
-		{"with a stream", standin.Reply{Events: []string{"a", "b"}, Lines: limitLine}},
-		{"with an error", standin.Reply{Status: 500, Lines: limitLine}},
-		{"with a refusal", standin.Reply{Refuse: true, Lines: limitLine}},
-		{"with an answer that is cut off", standin.Reply{Body: "done", CutAfter: 1, Lines: limitLine}},
-		{"with an answer in the place of another one", standin.Reply{Body: "done", Foreign: true, Lines: limitLine}},
-		{"with an interim answer", standin.Reply{Body: "done", Before: "HTTP/1.1 103 Early Hints\r\n" + limitLine + "\r\n"}},
+		{"with an answer", standin.Reply{Body: "done", HeaderLines: limitLine}},
+		{"with a stream", standin.Reply{Events: []string{"a", "b"}, HeaderLines: limitLine}},
+		{"with an error", standin.Reply{Status: 500, HeaderLines: limitLine}},
+		{"with a refusal", standin.Reply{Refuse: true, HeaderLines: limitLine}},
+		{"with an answer that is cut off", standin.Reply{Body: "done", CutAfter: 1, HeaderLines: limitLine}},
+		{"with an answer in the place of another one", standin.Reply{Body: "done", ForeignFirst: true, HeaderLines: limitLine}},
+		{"with an interim answer", standin.Reply{Body: "done", Interim: "HTTP/1.1 103 Early Hints\r\n" + limitLine + "\r\n"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -54,7 +54,7 @@
 			}
 			window := max(limitWindow, time.Since(began))
 			for _, r := range w.replicas {
-				is.True(float64(len(r.Arrived())) <= limitOverrun*window.Seconds()+limitSlack)
+				is.True(float64(len(r.Received())) <= limitOverrun*window.Seconds()+limitSlack)
 			}
 		})
 	}
@@ -69,14 +69,14 @@
 		if free.Load() {
 			return standin.Reply{Body: "done"}
 		}
-		return standin.Reply{Body: "done", Lines: limitLine}
+		return standin.Reply{Body: "done", HeaderLines: limitLine}
 	})
 	is.Equal(w.call("/write/1").Status, 200)
 	is.Equal(w.call("/write/1").Status, 200)
 	asked := time.Now()
 	a := w.call("/write/1")
 	is.Equal(a.Status, 503)
-	is.True(a.ComeBack() > 500*time.Millisecond && a.ComeBack() < 5*time.Second)
+	is.True(a.RetryAfter() > 500*time.Millisecond && a.RetryAfter() < 5*time.Second)
 	is.True(time.Since(asked) < time.Second)
 	is.Equal(len(w.ran()), 2)
 	w.await(func() bool { return strings.Contains(w.logs.String(), `"reason":"upstreams_limited"`) })
@@ -93,7 +93,7 @@
 func TestUnreadableLimitIsLoggedOnce(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1, func(int, standin.Request) standin.Reply {
-		return standin.Reply{Body: "done", Lines: "Server-Limit: few\r\n"}
+		return standin.Reply{Body: "done", HeaderLines: "Server-Limit: few\r\n"}
 	})
 	for range 20 {
 		is.Equal(w.call("/write/1").Status, 200)
@@ -119,7 +119,7 @@
 	for range 10 {
 		is.Equal(w.call("/write/1").Status, 200)
 	}
-	is.Equal(len(limited.Arrived()), 0)
+	is.Equal(len(limited.Received()), 0)
 	is.True(strings.Contains(w.logs.String(), `"failure":"withheld"`))
 }
 
@@ -128,7 +128,7 @@
 	w := &world{t: t, is: is.New(t), store: standin.NewStore(t)}
 	w.store.PutConfig(configuration(1))
 	r := standin.NewReplica(t, "i-a", func(int, standin.Request) standin.Reply {
-		return standin.Reply{Body: "done", Lines: limitLine}
+		return standin.Reply{Body: "done", HeaderLines: limitLine}
 	})
 	w.store.PutReplica(r, "app", false)
 	first := startPeer(t, w.store)
@@ -153,7 +153,7 @@
 	w := &world{t: t, is: is.New(t), store: standin.NewStore(t)}
 	w.store.PutConfig(configuration(1))
 	r := standin.NewReplica(t, "i-a", func(int, standin.Request) standin.Reply {
-		return standin.Reply{Body: "done", Lines: "Server-Limit: 1000\r\n"}
+		return standin.Reply{Body: "done", HeaderLines: "Server-Limit: 1000\r\n"}
 	})
 	w.store.PutReplica(r, "app", false)
 	first := startPeer(t, w.store)
@@ -177,7 +177,7 @@
 	})
 	w.caller = standin.NewCaller(t, second.CallersAddress())
 	w.await(func() bool { return w.call("/read/1").Status == 200 })
-	w.is.True(len(r.Arrived()) >= 1)
+	w.is.True(len(r.Received()) >= 1)
 }
 
 // A gateway that has sent nothing since a limit was named is told by others that it ended,
--- a/internal/edge/gatewayd/outage_test.go
+++ b/internal/edge/gatewayd/outage_test.go
@@ -71,7 +71,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			w := newWorld(t, 1, nil)
-			w.store.SetTrouble(standin.Silent)
+			w.store.SetFault(standin.Silent)
 			p := holdPoll(w, tt.age)
 			w.server.control.Must(func(now time.Time) {
 				at := now.Add(tt.newer - time.Duration(tt.age)*time.Millisecond)
@@ -86,7 +86,7 @@
 // the store to others.
 func TestLostStoreIsToldOn(t *testing.T) {
 	w := newWorld(t, 1, nil)
-	w.store.SetTrouble(standin.Silent)
+	w.store.SetFault(standin.Silent)
 	p := holdPoll(w, 0)
 	var resp *gladegaugev1.FollowResponse
 	w.await(func() bool {
@@ -126,7 +126,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			w := newWorld(t, 1, nil)
-			w.store.SetTrouble(standin.Silent)
+			w.store.SetFault(standin.Silent)
 			w.server.control.Must(func(now time.Time) {
 				w.server.storeFailedAt = time.Time{}
 				view := *w.server.view.Load()
@@ -144,7 +144,7 @@
 // the proof is of, does not ask to be told of it at once again and again.
 func TestProofThatCannotBeTaken(t *testing.T) {
 	w := newWorld(t, 1, nil)
-	w.store.SetTrouble(standin.Silent)
+	w.store.SetFault(standin.Silent)
 	ages := make(chan *uint32, 10)
 	parent := &standinParent{ages: ages}
 	_, handler := gladegaugev1connect.NewGatewayServiceHandler(parent)
--- a/internal/edge/gatewayd/path_test.go
+++ b/internal/edge/gatewayd/path_test.go
@@ -30,21 +30,21 @@
 	}{
 		{name: "a read is repeated after an error", uri: "/read/1", first: standin.Reply{Status: 500}, second: well, status: 200, body: "good", runs: 2},
 		{name: "a read is repeated after a cut", uri: "/read/1", first: standin.Reply{Body: "good", CutAfter: 1}, second: well, status: 200, body: "good", runs: 2},
-		{name: "a read is repeated after nonsense", uri: "/read/1", first: standin.Reply{Nonsense: true}, second: well, status: 200, body: "good", runs: 2},
+		{name: "a read is repeated after nonsense", uri: "/read/1", first: standin.Reply{Malformed: true}, second: well, status: 200, body: "good", runs: 2},
 		{name: "a read is repeated after silence", uri: "/read/1", first: standin.Reply{Silent: true}, second: well, status: 200, body: "good", runs: 2},
 		{name: "a read is repeated without a seal", uri: "/read/1", first: standin.Reply{Body: "bad", Unsealed: true}, second: well, status: 200, body: "good", runs: 2},
 		{name: "a refusal goes elsewhere", uri: "/write/1", first: standin.Reply{Refuse: true}, second: well, status: 200, body: "good", runs: 1},
 		{name: "a write is not repeated after a cut", uri: "/write/1", first: standin.Reply{Body: "good", CutAfter: 1}, second: well, status: 502, runs: 1},
-		{name: "a write is not repeated after nonsense", uri: "/write/1", first: standin.Reply{Nonsense: true}, second: well, status: 502, runs: 1},
+		{name: "a write is not repeated after nonsense", uri: "/write/1", first: standin.Reply{Malformed: true}, second: well, status: 502, runs: 1},
 		{name: "a write passes an error on", uri: "/write/1", first: standin.Reply{Status: 500, Body: "no"}, second: well, status: 500, body: "no", runs: 1},
 		{name: "a 503 without the promise is no promise", uri: "/write/1", first: standin.Reply{Status: 503}, second: well, status: 502, runs: 1},
-		{name: "an answer to somebody else is skipped", uri: "/write/1", first: standin.Reply{Foreign: true, Body: "mine"}, second: well, status: 200, body: "mine", runs: 1},
+		{name: "an answer to somebody else is skipped", uri: "/write/1", first: standin.Reply{ForeignFirst: true, Body: "mine"}, second: well, status: 200, body: "mine", runs: 1},
 		{name: "an answer without a length", uri: "/write/1", first: standin.Reply{Unframed: true, Body: "mine"}, second: well, status: 200, body: "mine", runs: 1},
 		{name: "a whole stream", uri: "/chat/1", first: stream, second: stream, status: 200, body: all, runs: 1},
 		{name: "a stream that may not be resumed is cut", uri: "/chat/1", first: standin.Reply{Events: stream.Events, CutAfter: 2}, second: stream, status: 200, body: all[:30], runs: 1, cut: true},
 		{name: "a resumable stream goes on", uri: "/note/1", first: standin.Reply{Events: stream.Events, CutAfter: 2}, second: stream, status: 200, body: all, runs: 2},
 		{name: "a resumable stream that breaks off after its last event", uri: "/note/1", first: standin.Reply{Events: stream.Events, CutAfter: 4}, second: stream, status: 200, body: all, runs: 2},
-		{name: "a part of an event is not passed on", uri: "/note/1", first: standin.Reply{Events: stream.Events, CutAfter: 2, CutInside: true}, second: stream, status: 200, body: all, runs: 2},
+		{name: "a part of an event is not passed on", uri: "/note/1", first: standin.Reply{Events: stream.Events, CutAfter: 2, CutMidEvent: true}, second: stream, status: 200, body: all, runs: 2},
 		{name: "a stream is resumed once", uri: "/note/1", first: standin.Reply{Events: stream.Events, CutAfter: 1}, second: standin.Reply{Events: stream.Events, CutAfter: 3}, status: 200, body: all[:45], runs: 2, cut: true},
 	}
 	for _, tt := range tests {
@@ -130,14 +130,14 @@
 	w := newWorld(t, 0, nil)
 	a := w.call("/write/1")
 	is.Equal(a.Status, 503)
-	is.True(a.ComeBack() > 0)
+	is.True(a.RetryAfter() > 0)
 	for _, id := range []string{"i-dead-1", "i-dead-2"} {
-		w.store.PutAddress(id, closedAddress(t), "app")
+		w.store.PutReplicaAddress(id, closedAddress(t), "app")
 	}
 	w.await(func() bool { return w.upstreams() == 2 })
 	a = w.call("/write/1")
 	is.Equal(a.Status, 503)
-	is.True(a.ComeBack() > 0)
+	is.True(a.RetryAfter() > 0)
 }
 
 // The route's time ends a request that its upstream does not answer.
@@ -164,7 +164,7 @@
 	w.await(func() bool { return len(w.ran()) == 1 })
 	cancel()
 	<-done
-	w.await(func() bool { return w.replicas[0].Closed() == 1 })
+	w.await(func() bool { return w.replicas[0].ClosedByCaller() == 1 })
 	is.Equal(len(w.ran()), 1)
 }
 
--- a/internal/edge/gatewayd/peers_test.go
+++ b/internal/edge/gatewayd/peers_test.go
@@ -155,7 +155,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			w := newWorld(t, 1, nil)
-			w.store.SetTrouble(standin.Silent)
+			w.store.SetFault(standin.Silent)
 			asked := time.Now().Add(-5 * time.Second)
 			w.server.control.Must(func(now time.Time) {
 				view := *w.server.view.Load()
@@ -184,7 +184,7 @@
 		}
 	}
 	is.Equal(len(resp.GetEntries()), 2)
-	w.store.SetTrouble(standin.Silent)
+	w.store.SetFault(standin.Silent)
 	f := &follower{server: w.server, reader: reader.New(time.Now())}
 	f.takeFrom(time.Now(), "parent", resp)
 	is.Equal(w.upstreams(), 3)
@@ -195,7 +195,7 @@
 func TestEmptyListingOfAnotherGateway(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 2, nil)
-	w.store.SetTrouble(standin.Silent)
+	w.store.SetFault(standin.Silent)
 	f := &follower{server: w.server, reader: reader.New(time.Now())}
 	f.takeFrom(time.Now(), "parent", &gladegaugev1.FollowResponse{Revision: 100, Version: 1, Whole: true})
 	is.Equal(w.upstreams(), 0)
--- a/internal/edge/gatewayd/refusal_test.go
+++ b/internal/edge/gatewayd/refusal_test.go
@@ -70,8 +70,8 @@
 				})
 			}
 			is.NoErr(group.Wait())
-			t.Logf("%d of %d requests were sent there", len(refuses.Arrived()), refusalCallers*refusalRequests)
-			is.True(len(refuses.Arrived()) <= refusalCallers*refusalRequests/6)
+			t.Logf("%d of %d requests were sent there", len(refuses.Received()), refusalCallers*refusalRequests)
+			is.True(len(refuses.Received()) <= refusalCallers*refusalRequests/6)
 		})
 	}
 }
--- a/internal/edge/gatewayd/rest_test.go
+++ b/internal/edge/gatewayd/rest_test.go
@@ -23,13 +23,13 @@
 func TestUpstreamThatAsksForRestGetsNone(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 3, func(int, standin.Request) standin.Reply {
-		return standin.Reply{Refuse: true, Lines: restLine}
+		return standin.Reply{Refuse: true, HeaderLines: restLine}
 	})
 	for range 20 {
 		w.call("/write/1")
 	}
 	for _, r := range w.replicas {
-		is.True(len(r.Arrived()) <= 1)
+		is.True(len(r.Received()) <= 1)
 	}
 }
 
@@ -39,14 +39,14 @@
 	is := is.New(t)
 	var takes atomic.Bool
 	w := newWorld(t, 2, func(int, standin.Request) standin.Reply {
-		return standin.Reply{Refuse: !takes.Load(), Lines: restLine}
+		return standin.Reply{Refuse: !takes.Load(), HeaderLines: restLine}
 	})
 	w.call("/write/1")
 	w.call("/write/1")
 	asked := time.Now()
 	a := w.call("/write/1")
 	is.Equal(a.Status, 503)
-	is.True(a.ComeBack() > 28*time.Second && a.ComeBack() < 45*time.Second)
+	is.True(a.RetryAfter() > 28*time.Second && a.RetryAfter() < 45*time.Second)
 	is.True(time.Since(asked) < time.Second)
 	w.await(func() bool { return strings.Contains(w.logs.String(), `"reason":"upstreams_rest"`) })
 	is.Equal(len(w.ran()), 0)
@@ -65,17 +65,17 @@
 		// logs must be in the logs.
 		logs string
 	}{
-		{"whole seconds", standin.Reply{Refuse: true, Lines: restLine}, true, "upstream asks for rest"},
-		{"a fraction", standin.Reply{Refuse: true, Lines: "Retry-After: 20.5\r\n"}, true, `"asked":20500`},
-		{"more than is believed", standin.Reply{Refuse: true, Lines: "Retry-After: 1000000000000\r\n"}, true, `"rest":3`},
-		{"sealed, as if it had run", standin.Reply{Status: 503, Lines: restLine}, true, "upstream asks for rest"},
-		{"in the place of another answer", standin.Reply{Status: 503, Foreign: true, Lines: restLine}, true, "upstream asks for rest"},
+		{"whole seconds", standin.Reply{Refuse: true, HeaderLines: restLine}, true, "upstream asks for rest"},
+		{"a fraction", standin.Reply{Refuse: true, HeaderLines: "Retry-After: 20.5\r\n"}, true, `"asked":20500`},
+		{"more than is believed", standin.Reply{Refuse: true, HeaderLines: "Retry-After: 1000000000000\r\n"}, true, `"rest":3`},
+		{"sealed, as if it had run", standin.Reply{Status: 503, HeaderLines: restLine}, true, "upstream asks for rest"},
+		{"in the place of another answer", standin.Reply{Status: 503, ForeignFirst: true, HeaderLines: restLine}, true, "upstream asks for rest"},
 		{"none", standin.Reply{Refuse: true}, false, "refused"},
-		{"no time", standin.Reply{Refuse: true, Lines: "Retry-After: 0\r\n"}, false, "refused"},
-		{"below 0", standin.Reply{Refuse: true, Lines: "Retry-After: -3\r\n"}, false, "upstream says what cannot be read"},
-		{"a date", standin.Reply{Refuse: true, Lines: "Retry-After: Fri, 01 Jan 2100 00:00:00 GMT\r\n"}, false, "upstream says what cannot be read"},
-		{"with an answer", standin.Reply{Body: "done", Lines: restLine}, false, "completed"},
-		{"with a rate limit", standin.Reply{Status: 429, Lines: restLine}, false, "without the promise"},
+		{"no time", standin.Reply{Refuse: true, HeaderLines: "Retry-After: 0\r\n"}, false, "refused"},
+		{"below 0", standin.Reply{Refuse: true, HeaderLines: "Retry-After: -3\r\n"}, false, "upstream says what cannot be read"},
+		{"a date", standin.Reply{Refuse: true, HeaderLines: "Retry-After: Fri, 01 Jan 2100 00:00:00 GMT\r\n"}, false, "upstream says what cannot be read"},
+		{"with an answer", standin.Reply{Body: "done", HeaderLines: restLine}, false, "completed"},
+		{"with a rate limit", standin.Reply{Status: 429, HeaderLines: restLine}, false, "without the promise"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -83,7 +83,7 @@
 			w := newWorld(t, 1, func(int, standin.Request) standin.Reply { return tt.reply })
 			w.call("/write/1")
 			w.call("/write/1")
-			arrived := len(w.replicas[0].Arrived())
+			arrived := len(w.replicas[0].Received())
 			is.Equal(arrived == 1, tt.rests)
 			is.True(strings.Contains(w.logs.String(), tt.logs))
 		})
@@ -109,6 +109,6 @@
 	for range 10 {
 		is.Equal(w.call("/write/1").Status, 200)
 	}
-	is.Equal(len(resting.Arrived()), 0)
+	is.Equal(len(resting.Received()), 0)
 	is.True(strings.Contains(w.logs.String(), `"failure":"withheld"`))
 }
--- a/internal/edge/gatewayd/restore_test.go
+++ b/internal/edge/gatewayd/restore_test.go
@@ -75,12 +75,12 @@
 	w.store.Backup()
 	w.store.PutConfig(configuration(2))
 	w.await(func() bool { return w.server.view.Load().Table.Version == 2 })
-	w.store.SetTrouble(standin.Busy)
+	w.store.SetFault(standin.Unavailable)
 	w.store.Restore()
 	w.store.PutReplica(w.replicas[0], "app", true)
 	w.store.PutConfig(configuration(2))
 	w.store.PutConfig(configuration(2))
-	w.store.SetTrouble(standin.Well)
+	w.store.SetFault(standin.NoFault)
 	g := &testPeer{Server: w.server}
 	w.await(func() bool { return g.leaves("i-a") })
 }
@@ -144,11 +144,11 @@
 			w := newWorld(t, 1, nil)
 			g := &testPeer{Server: w.server}
 			w.store.Backup()
-			w.store.SetTrouble(standin.Busy)
+			w.store.SetFault(standin.Unavailable)
 			w.store.Restore()
 			tt.write(w.store)
 			back := time.Now()
-			w.store.SetTrouble(standin.Well)
+			w.store.SetFault(standin.NoFault)
 			w.await(func() bool { return g.provedAfter(back) })
 			took := time.Since(back)
 			w.is.Equal(g.epoch(), int64(1))
@@ -180,7 +180,7 @@
 // another gateway has brought it further, and does not read everything.
 func TestWatchesAgainFromWhatAnotherGatewayTold(t *testing.T) {
 	w := newWorld(t, 1, nil)
-	w.store.SetTrouble(standin.Silent)
+	w.store.SetFault(standin.Silent)
 	known := feed.Position{Epoch: 1, Revision: 7}
 	tests := []struct {
 		name       string
--- a/internal/edge/gatewayd/state_test.go
+++ b/internal/edge/gatewayd/state_test.go
@@ -38,13 +38,13 @@
 
 // A process that knows no configuration promises nothing and denies nothing.
 func TestStartWithoutStore(t *testing.T) {
-	for _, trouble := range []standin.Trouble{standin.Busy, standin.Limited, standin.Cut, standin.Nonsense} {
+	for _, trouble := range []standin.StoreFault{standin.Unavailable, standin.RateLimited, standin.Disconnect, standin.InvalidJSON} {
 		w := &world{t: t, is: is.New(t), store: standin.NewStore(t)}
 		w.store.PutConfig(configuration(1))
-		w.store.SetTrouble(trouble)
+		w.store.SetFault(trouble)
 		w.start(boundsOfTests())
 		w.is.Equal(w.readiness(), 503)
-		w.store.SetTrouble(standin.Well)
+		w.store.SetFault(standin.NoFault)
 		w.await(func() bool { return w.readiness() == 200 })
 	}
 }
@@ -62,7 +62,7 @@
 	w.await(func() bool { return w.readiness() == 200 })
 	w.is.Equal(w.server.view.Load().Table.Version, int64(2))
 	w.is.Equal(w.call("/read/1").Status, 401)
-	w.is.Equal(w.store.Waits()[0], time.Millisecond)
+	w.is.Equal(w.store.WatchWaits()[0], time.Millisecond)
 }
 
 // Every change arrives: configurations, upstreams, and both after the store has
@@ -100,12 +100,12 @@
 	b.ConfigWithin = 400 * time.Millisecond
 	w.start(b)
 	w.await(func() bool { return w.readiness() == 200 })
-	w.await(func() bool { return len(w.store.Waits()) > 1 })
-	w.store.Deafen()
+	w.await(func() bool { return len(w.store.WatchWaits()) > 1 })
+	w.store.SuppressNotifications()
 	w.store.PutConfig(configuration(2))
-	w.store.Forget()
+	w.store.CompactSilently()
 	w.await(func() bool { return w.server.view.Load().Table.Version == 2 })
-	for _, wait := range w.store.Waits() {
+	for _, wait := range w.store.WatchWaits() {
 		is.True(wait <= b.ConfigWithin)
 	}
 }
@@ -130,13 +130,13 @@
 	is := is.New(t)
 	w := newWorld(t, 1, fine)
 	is.Equal(w.call("/read/1").Status, 200)
-	w.store.SetTrouble(standin.Silent)
+	w.store.SetFault(standin.Silent)
 	old := *w.server.view.Load()
 	old.NewestAt = time.Now().Add(-w.server.bounds.Load().KeyAge - time.Millisecond)
 	w.server.control.Must(func(time.Time) { w.server.view.Store(&old) })
 	a := w.call("/read/1")
 	is.Equal(a.Status, 503)
-	is.True(a.ComeBack() > 0)
+	is.True(a.RetryAfter() > 0)
 	is.Equal(len(w.ran()), 1)
 }
 
@@ -178,7 +178,7 @@
 	w.server.stoppingAt.Store(&began)
 	a = w.call("/write/4")
 	is.Equal(a.Status, 503)
-	is.True(a.ComeBack() > 0)
+	is.True(a.RetryAfter() > 0)
 	is.Equal(len(w.ran()), 3)
 	close(hold)
 	a = <-done
@@ -192,13 +192,13 @@
 func TestReturnOfTheStore(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1, fine)
-	w.await(func() bool { return len(w.store.Waits()) > 0 })
-	w.store.SetTrouble(standin.Cut)
+	w.await(func() bool { return len(w.store.WatchWaits()) > 0 })
+	w.store.SetFault(standin.Disconnect)
 	calls := w.store.Calls()
 	w.await(func() bool { return w.store.Calls() > calls+1 })
-	w.store.SetTrouble(standin.Well)
-	w.await(func() bool { return len(w.store.Waits()) > 0 })
-	is.Equal(w.store.Waits()[0], time.Millisecond)
+	w.store.SetFault(standin.NoFault)
+	w.await(func() bool { return len(w.store.WatchWaits()) > 0 })
+	is.Equal(w.store.WatchWaits()[0], time.Millisecond)
 }
 
 // Only a watch that waited to its end without a change proves more than the
--- a/internal/edge/gatewayd/suspend_test.go
+++ b/internal/edge/gatewayd/suspend_test.go
@@ -19,11 +19,11 @@
 	is := is.New(t)
 	w := newWorld(t, 1, fine)
 	is.Equal(w.call("/read/1").Status, http.StatusOK)
-	w.store.SetTrouble(standin.Silent)
+	w.store.SetFault(standin.Silent)
 	w.suspend(10 * time.Second)
 	is.Equal(w.call("/read/1").Status, http.StatusServiceUnavailable)
 	is.Equal(len(w.ran()), 1)
-	w.store.SetTrouble(standin.Well)
+	w.store.SetFault(standin.NoFault)
 	w.await(func() bool { return w.call("/read/1").Status == http.StatusOK })
 }
 
--- a/internal/edge/gatewayd/turn_test.go
+++ b/internal/edge/gatewayd/turn_test.go
@@ -16,7 +16,7 @@
 // for which it leaves it to them is over, if what it knows is too old.
 func TestStoreIsNotLeftToOthersForTooLong(t *testing.T) {
 	w := newWorld(t, 1, nil)
-	w.store.SetTrouble(standin.Silent)
+	w.store.SetFault(standin.Silent)
 	f := &follower{server: w.server, reader: reader.New(w.now()), position: feed.Position{Revision: 1}}
 	w.server.control.Must(func(now time.Time) {
 		w.server.fleet.Merge(now, []fleet.Member{{Address: "10.0.0.9:1", Zone: "b", Start: 1, Beat: 1}})
--- a/internal/edge/gatewayd/unfit_test.go
+++ b/internal/edge/gatewayd/unfit_test.go
@@ -15,7 +15,7 @@
 func TestOverwrittenEntry(t *testing.T) {
 	w := newWorld(t, 2, fine)
 	for range 3 {
-		w.store.PutForeign("i-a")
+		w.store.PutForeignEntry("i-a")
 		w.await(func() bool { return w.upstreams() == 1 })
 		w.is.Equal(w.call("/read/1").Status, http.StatusOK)
 		w.store.PutReplica(w.replicas[0], "app", false)
@@ -30,7 +30,7 @@
 	w := newWorld(t, 1, fine)
 	const many = 3000
 	for i := range many {
-		w.store.PutForeign(fmt.Sprintf("x-%d", i))
+		w.store.PutForeignEntry(fmt.Sprintf("x-%d", i))
 	}
 	r := standin.NewReplica(t, "i-z", fine)
 	w.store.PutReplica(r, "app", false)
--- a/internal/edge/gatewayd/world_test.go
+++ b/internal/edge/gatewayd/world_test.go
@@ -64,11 +64,11 @@
 
 // routes of every test, by kind.
 var routes = []standin.Route{
-	{Name: "read", Host: "x.example", Prefix: "/read/", Kind: "idempotent", Pool: "app", TimeoutMs: 2000, TargetMs: 1000, Attempts: 2},
-	{Name: "write", Host: "x.example", Prefix: "/write/", Kind: "non_idempotent", Pool: "app", TimeoutMs: 2000, TargetMs: 1000, Attempts: 2},
-	{Name: "chat", Host: "x.example", Prefix: "/chat/", Kind: "streaming", Pool: "app", TimeoutMs: 2000, TargetMs: 1000, PauseMs: 200, Attempts: 2},
-	{Name: "note", Host: "x.example", Prefix: "/note/", Kind: "streaming", Pool: "app", TimeoutMs: 2000, TargetMs: 1000, PauseMs: 500, Attempts: 2, Resume: true},
-	{Name: "short", Host: "x.example", Prefix: "/short/", Kind: "non_idempotent", Pool: "app", TimeoutMs: 150, TargetMs: 100, Attempts: 1},
+	{Name: "read", Host: "x.example", Prefix: "/read/", Kind: "idempotent", Pool: "app", TimeoutMs: 2000, TargetLatencyMs: 1000, Attempts: 2},
+	{Name: "write", Host: "x.example", Prefix: "/write/", Kind: "non_idempotent", Pool: "app", TimeoutMs: 2000, TargetLatencyMs: 1000, Attempts: 2},
+	{Name: "chat", Host: "x.example", Prefix: "/chat/", Kind: "streaming", Pool: "app", TimeoutMs: 2000, TargetLatencyMs: 1000, TargetGapMs: 200, Attempts: 2},
+	{Name: "note", Host: "x.example", Prefix: "/note/", Kind: "streaming", Pool: "app", TimeoutMs: 2000, TargetLatencyMs: 1000, TargetGapMs: 500, Attempts: 2, Resume: true},
+	{Name: "short", Host: "x.example", Prefix: "/short/", Kind: "non_idempotent", Pool: "app", TimeoutMs: 150, TargetLatencyMs: 100, Attempts: 1},
 }
 
 func configuration(version int64) standin.Config {
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -60,7 +60,7 @@
 		ID: c.ID, Host: host, URI: "/" + c.Kind + "/" + strconv.Itoa(path), Key: c.Key, Body: "x", DeadlineMs: callTimeoutMs,
 	}
 	if streams(c.Kind) {
-		req.Tokens, req.Parts = "100,200", "aa:60,bb:40"
+		req.Tokens, req.PromptParts = "100,200", "aa:60,bb:40"
 	}
 	return req
 }
--- a/internal/soak/crashes.go
+++ b/internal/soak/crashes.go
@@ -48,7 +48,7 @@
 		k := Kill{ID: fmt.Sprintf("kill-%d", n), Gateway: p.n, Sent: time.Now()}
 		send(ctx, standin.NewCaller(w.t, p.settings.Callers), standin.Request{
 			ID: k.ID, Host: host, URI: "/" + kindChat + "/1", Key: lastingKey, Body: killerBody, DeadlineMs: callTimeoutMs,
-			Tokens: "100,200", Parts: "aa:60,bb:40",
+			Tokens: "100,200", PromptParts: "aa:60,bb:40",
 		})
 		k.Done = time.Now()
 		w.record.kill(k)
@@ -84,7 +84,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i, r := range w.replicas {
-		if r.Ended() {
+		if r.Crashed() {
 			w.replicas[i] = w.startReplica(r.ID, r.Zone)
 		}
 	}
@@ -94,7 +94,7 @@
 func (w *World) overwrite(rng *rand.Rand) {
 	w.mu.Lock()
 	id := w.replicas[rng.IntN(len(w.replicas))].ID
-	w.store.PutForeign(id)
+	w.store.PutForeignEntry(id)
 	w.mu.Unlock()
 	time.Sleep(foreignFor)
 	w.mu.Lock()
--- a/internal/soak/evacuations.go
+++ b/internal/soak/evacuations.go
@@ -39,7 +39,7 @@
 		at := time.Now()
 		loop.Pause(ctx, evacuationLeast+upTo(rng, evacuationMost-evacuationLeast))
 		until := time.Now()
-		w.store.TakeBack(zone)
+		w.store.EndEvacuation(zone)
 		w.record.evacuated(Evacuation{Zone: zone, At: at, Until: until})
 	}
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -99,11 +99,11 @@
 }
 
 func (w *World) failStore(rng *rand.Rand, d time.Duration) {
-	troubles := []standin.Trouble{standin.Busy, standin.Limited, standin.Silent, standin.Cut, standin.Nonsense}
+	troubles := []standin.StoreFault{standin.Unavailable, standin.RateLimited, standin.Silent, standin.Disconnect, standin.InvalidJSON}
 	w.during("store", everyGateway, func() {
-		w.store.SetTrouble(troubles[rng.IntN(len(troubles))])
+		w.store.SetFault(troubles[rng.IntN(len(troubles))])
 		time.Sleep(d)
-		w.store.SetTrouble(standin.Well)
+		w.store.SetFault(standin.NoFault)
 	})
 }
 
@@ -187,7 +187,7 @@
 func (w *World) replaceReplica(rng *rand.Rand, d time.Duration) {
 	w.mu.Lock()
 	r := w.swapReplica(rng)
-	w.store.PutReplica(r.At(r.link.Address()), pool, true)
+	w.store.PutReplica(r.WithAddress(r.link.Address()), pool, true)
 	w.mu.Unlock()
 	w.record.left(r.ID, time.Now())
 	time.Sleep(d)
--- a/internal/soak/notices.go
+++ b/internal/soak/notices.go
@@ -76,7 +76,7 @@
 
 // reply returns the refusal.
 func (s shedding) reply() standin.Reply {
-	return standin.Reply{Refuse: true, Lines: "Retry-After: " + s.text + "\r\n"}
+	return standin.Reply{Refuse: true, HeaderLines: "Retry-After: " + s.text + "\r\n"}
 }
 
 // sheds reports whether the replica refuses everything now.
@@ -93,14 +93,14 @@
 	w.mu.Lock()
 	r := w.swapReplica(rng)
 	w.mu.Unlock()
-	r.Leave(true)
+	r.SetLeaving(true)
 	time.Sleep(upTo(rng, listedLate))
 	switch rng.IntN(3) {
 	case 0:
-		w.store.PutReplica(r.At(r.link.Address()), pool, true)
+		w.store.PutReplica(r.WithAddress(r.link.Address()), pool, true)
 		w.record.left(r.ID, time.Now())
 	case 1:
-		r.Leave(false)
+		r.SetLeaving(false)
 	default:
 	}
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -52,15 +52,15 @@
 	p.link = w.link(w.store.Address())
 	addresses := freeAddresses(w.t, 3)
 	p.settings = standin.Gateway{
-		Host:      fmt.Sprintf("g-%d", n),
-		Zone:      fmt.Sprintf("z%d", n%zones),
-		Callers:   addresses[0],
-		Readiness: addresses[1],
-		Peers:     addresses[2],
-		Store:     p.link.Address(),
-		RevokeMs:  int(revokeWithin.Milliseconds()),
-		ConfigMs:  int(configWithin.Milliseconds()),
-		GraceS:    int(graceful.Seconds()),
+		Host:          fmt.Sprintf("g-%d", n),
+		Zone:          fmt.Sprintf("z%d", n%zones),
+		Callers:       addresses[0],
+		Readiness:     addresses[1],
+		Peers:         addresses[2],
+		Store:         p.link.Address(),
+		RevokeMs:      int(revokeWithin.Milliseconds()),
+		ConfigApplyMs: int(configWithin.Milliseconds()),
+		GraceS:        int(graceful.Seconds()),
 	}
 	return p
 }
--- a/internal/soak/publish.go
+++ b/internal/soak/publish.go
@@ -47,7 +47,7 @@
 func route(kind, wire string, attempts int, resume bool) standin.Route {
 	return standin.Route{
 		Name: kind, Host: host, Prefix: "/" + kind + "/", Kind: wire, Pool: pool,
-		TimeoutMs: routeTimeoutMs, TargetMs: routeTargetMs, PauseMs: routePauseMs, Attempts: attempts, Resume: resume,
+		TimeoutMs: routeTimeoutMs, TargetLatencyMs: routeTargetMs, TargetGapMs: routePauseMs, Attempts: attempts, Resume: resume,
 	}
 }
 
--- a/internal/soak/replicas.go
+++ b/internal/soak/replicas.go
@@ -36,7 +36,7 @@
 }
 
 // list lets the replica write its entry.
-func (w *World) list(r *replica) { w.store.PutReplica(r.At(r.link.Address()), pool, false) }
+func (w *World) list(r *replica) { w.store.PutReplica(r.WithAddress(r.link.Address()), pool, false) }
 
 // streamPause is the pause of a replica after its first event.
 const streamPause = 100 * time.Millisecond
@@ -55,17 +55,17 @@
 var misbehaviours = []misbehaviour{
 	{2, func(r *standin.Reply) { r.CutAfter = 2 }},
 	{1, func(r *standin.Reply) { r.CutAfter = len(r.Events) }},
-	{1, func(r *standin.Reply) { r.CutAfter, r.Mute = len(r.Events), true }},
-	{1, func(r *standin.Reply) { r.Nonsense = true }},
+	{1, func(r *standin.Reply) { r.CutAfter, r.Stall = len(r.Events), true }},
+	{1, func(r *standin.Reply) { r.Malformed = true }},
 	{1, func(r *standin.Reply) { r.Status, r.Events, r.Body = http.StatusInternalServerError, nil, "no" }},
 	{1, func(r *standin.Reply) { r.Silent = true }},
-	{1, func(r *standin.Reply) { r.CutAfter, r.CutInside, r.Mute = 2, true, true }},
+	{1, func(r *standin.Reply) { r.CutAfter, r.CutMidEvent, r.Stall = 2, true, true }},
 }
 
 // reply is what a replica does with a request, and the limit that it names.
 func (w *World) reply(id string, req standin.Request) standin.Reply {
 	reply := w.act(id, req)
-	reply.Limit = w.limitOf(id)
+	reply.RateLimit = w.limitOf(id)
 	return reply
 }
 
--- a/internal/soak/restores.go
+++ b/internal/soak/restores.go
@@ -39,15 +39,15 @@
 
 // restore lets the store come back once, and all that was lost be written again.
 func (w *World) restore(rng *rand.Rand) {
-	w.store.GoAway()
+	w.store.TakeOffline()
 	time.Sleep(upTo(rng, awayMost))
 	w.store.Restore()
 	time.Sleep(upTo(rng, operatorsAgain))
-	w.store.WriteAgain(standin.OperatorKeys)
-	w.store.RemoveAgain(standin.OperatorKeys)
+	w.store.ReplayLostWrites(standin.OperatorPrefix)
+	w.store.ReplayLostRemovals(standin.OperatorPrefix)
 	again := upTo(rng, upstreamsAgain)
 	time.Sleep(again)
-	w.store.WriteAgain(standin.ReplicaKeys)
+	w.store.ReplayLostWrites(standin.ReplicaPrefix)
 	time.Sleep(lapse - again)
-	w.store.RemoveAgain(standin.ReplicaKeys)
+	w.store.ReplayLostRemovals(standin.ReplicaPrefix)
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -41,8 +41,9 @@
 	Hang bool `json:"hang"`
 	// Fail rejects each request with status 500.
 	Fail bool `json:"fail"`
-	// Rest rejects each request with status 503 and this Retry-After, in seconds; 0 means never.
-	Rest float64 `json:"rest"`
+	// RetryAfter rejects each request with status 503 and this Retry-After, in seconds; 0
+	// means never.
+	RetryAfter float64 `json:"rest"`
 }
 
 const (
@@ -141,8 +142,8 @@
 	}
 	e.count(1)
 	defer e.count(-1)
-	if rest := e.getFault().Rest; rest > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(rest, 'f', -1, 64))
+	if retryAfter := e.getFault().RetryAfter; retryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter, 'f', -1, 64))
 		http.Error(w, "full", http.StatusServiceUnavailable)
 		return
 	}
