--- a/internal/edge/entryd/attempt.go
+++ b/internal/edge/entryd/attempt.go
@@ -16,24 +16,25 @@
 
 type attemptStream = connect.BidiStreamForClient[gladegaugev1.AttemptCommand, gladegaugev1.AttemptEvent]
 
-// attempt is one attempt's stream to its agent.
+// attempt is the stream of one attempt to its agent.
 type attempt struct {
-	id      string
-	agent   string
-	address string
-	stream  *attemptStream
-	cancel  context.CancelFunc
-	settled bool
-	since   time.Time
+	id        string
+	agent     string
+	address   string
+	stream    *attemptStream
+	cancel    context.CancelFunc
+	settled   bool
+	offeredAt time.Time
 }
 
-// attemptEvent is what an attempt's stream brought; no event is its end.
+// attemptEvent is an event received on the stream of attempt n. A nil event means that
+// the stream has ended.
 type attemptEvent struct {
 	n     int
 	event *gladegaugev1.AttemptEvent
 }
 
-// drainStreams lets the streams' goroutines end.
+// drainStreams discards events until the goroutines of all streams have ended.
 func (x *call) drainStreams() {
 	done := make(chan struct{})
 	var waiter errgroup.Group
@@ -50,26 +51,26 @@
 	}
 }
 
-// open opens an attempt's stream and reads from it.
+// open opens the stream of an attempt, sends the offer and receives events.
 func (x *call) open(ctx context.Context, e dispatch.Offer) {
 	ctx, cancel := context.WithCancel(ctx)
 	client := gladegaugev1connect.NewAgentServiceClient(x.s.rpcHTTP, x.s.o.Keys.URL(e.Agent.Address))
 	a := &attempt{
-		id:      x.id + "/" + strconv.Itoa(e.Attempt),
-		agent:   e.Agent.ID,
-		address: e.Agent.Address,
-		stream:  client.Attempt(ctx),
-		cancel:  cancel,
-		since:   x.s.now(),
+		id:        x.id + "/" + strconv.Itoa(e.Attempt),
+		agent:     e.Agent.ID,
+		address:   e.Agent.Address,
+		stream:    client.Attempt(ctx),
+		cancel:    cancel,
+		offeredAt: x.s.now(),
 	}
 	x.attempts = append(x.attempts, a)
 	offer := &gladegaugev1.Offer{
 		Attempt:        a.id,
-		Incarnation:    x.bound,
+		Incarnation:    x.keyIssuer,
 		Class:          x.call.Class.Name,
 		Organisation:   x.call.Organisation.Name,
 		Weight:         x.call.Organisation.Weight,
-		AgeMs:          convert.Milliseconds(x.s.now().Sub(x.arrived)),
+		AgeMs:          convert.Milliseconds(x.s.now().Sub(x.arrivedAt)),
 		Copies:         uint32(e.Copies),
 		IdempotencyKey: x.key,
 	}
@@ -90,11 +91,11 @@
 	})
 }
 
-// claim starts the granted attempt. A claim that cannot be sent shows as the
-// end of the stream.
+// claim starts the granted attempt. A claim that cannot be sent is noticed by the end of
+// the stream.
 func (x *call) claim(e dispatch.Claim) {
 	a := x.attempts[e.Attempt]
-	x.claimedBy = a.agent
+	x.claimedAgent = a.agent
 	x.claimedAt = x.s.now()
 	if e.Offset > 0 {
 		x.s.metrics.Resumes.Inc()
@@ -104,7 +105,7 @@
 	_ = a.stream.Send(&gladegaugev1.AttemptCommand{Command: &gladegaugev1.AttemptCommand_Run{Run: x.run}})
 }
 
-// recount tells the agent of an open offer how many agents hold one now.
+// recount tells an agent with an open offer how many agents now hold one.
 func (x *call) recount(e dispatch.Recount) {
 	recount := &gladegaugev1.Recount{Copies: uint32(e.Copies)}
 	_ = x.attempts[e.Attempt].stream.Send(&gladegaugev1.AttemptCommand{
@@ -112,8 +113,8 @@
 	})
 }
 
-// settle tells the entry that the attempt's offer has its first answer.
-// It runs in the control loop.
+// settle records that the agent responded to the offer, or that the offer was lost. It
+// runs in the control loop.
 func (x *call) settle(now time.Time, a *attempt, lost bool) {
 	if a.settled {
 		return
--- a/internal/edge/entryd/call.go
+++ b/internal/edge/entryd/call.go
@@ -16,51 +16,51 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// callTick is how often a request in progress checks the time.
-const callTick = 200 * time.Millisecond
+// requestTickInterval is the interval at which a request in progress checks its timeouts.
+const requestTickInterval = 200 * time.Millisecond
 
-// offerTimeout is how long an agent may take for its first answer.
+// offerTimeout is the time within which an agent must first respond to an offer.
 const offerTimeout = time.Second
 
-// call is one request in progress. Its goroutine alone writes to the caller.
+// call is one request in progress. Only its own goroutine writes to the caller.
 type call struct {
-	s         *Server
-	id        string
-	call      entry.Call
-	key       string
-	run       *gladegaugev1.Run
-	out       responder
-	arrived   time.Time
-	ticket    *entry.AdmittedRequest
-	attempts  []*attempt
-	events    chan attemptEvent
-	streams   errgroup.Group
-	first     time.Time
-	completed time.Time
-	claimedBy string
-	bound     string
-	outcome   dispatch.Outcome
-	// status is that of the upstream's answer.
+	s            *Server
+	id           string
+	call         entry.Call
+	key          string
+	run          *gladegaugev1.Run
+	out          responder
+	arrivedAt    time.Time
+	admitted     *entry.AdmittedRequest
+	attempts     []*attempt
+	events       chan attemptEvent
+	streams      errgroup.Group
+	firstByte    time.Time
+	completedAt  time.Time
+	claimedAgent string
+	keyIssuer    string
+	outcome      dispatch.Outcome
+	// status is the HTTP status of the upstream's response.
 	status int
-	// claimedAt is when the latest run began.
+	// claimedAt is the time of the latest claim.
 	claimedAt time.Time
-	// print is the zero value until it is asked for.
+	// print is the fingerprint of the request. It is computed on first use.
 	print suspect.Print
-	// verdict is what was known of the request when it came; harmful is true once that
-	// is enough to block it.
-	verdict suspect.Verdict
-	harmful bool
+	// verdict is the suspect verdict when the request arrived. blockedDuringRun is true
+	// once the upstream crashes during this call suffice to block the request.
+	verdict          suspect.Verdict
+	blockedDuringRun bool
 }
 
-// responder writes the answer to the caller.
+// responder writes the response to the caller.
 type responder interface {
-	// head takes the status and headers of the answer.
+	// head handles the status and headers of the response.
 	head(h *gladegaugev1.Head) error
-	// chunk takes a piece of the answer.
+	// chunk handles a part of the response body.
 	chunk(data []byte) error
-	// end finishes a complete answer.
+	// end finishes a complete response.
 	end() error
-	// problem answers with an error, or cuts the answer off if it has begun.
+	// problem responds with an error, or aborts a response that has begun.
 	problem(p *problem) error
 }
 
@@ -71,45 +71,46 @@
 	return hex.EncodeToString(b)
 }
 
-// serve carries the request to its outcome and answers the caller.
+// serve runs the request until it has an outcome, and responds to the caller.
 func (x *call) serve(ctx context.Context) error {
 	var effects []dispatch.Effect
 	var refusal *problem
 	x.s.loop.Must(func(now time.Time) {
-		x.arrived = now
-		effects, refusal = x.begin(now)
+		x.arrivedAt = now
+		effects, refusal = x.admit(now)
 	})
 	if refusal != nil {
 		x.outcome = dispatch.Outcome{Result: dispatch.NotRun}
-		x.account()
+		x.recordOutcome()
 		return x.out.problem(refusal)
 	}
 	x.events = make(chan attemptEvent)
 	streamCtx, cancel := context.WithCancel(ctx)
-	err := x.work(ctx, streamCtx, effects)
+	err := x.processEvents(ctx, streamCtx, effects)
 	cancel()
 	x.drainStreams()
-	x.account()
-	if errors.Is(err, errCut) {
+	x.recordOutcome()
+	if errors.Is(err, errTruncated) {
 		panic(http.ErrAbortHandler)
 	}
 	return err
 }
 
-// begin takes the request in, or tells why not. It runs in the control loop.
-func (x *call) begin(now time.Time) ([]dispatch.Effect, *problem) {
-	if p := x.enter(now); p != nil {
+// admit admits the request, or returns the error to respond with. It runs in the control
+// loop.
+func (x *call) admit(now time.Time) ([]dispatch.Effect, *problem) {
+	if p := x.checkSuspect(now); p != nil {
 		return nil, p
 	}
-	ticket, rejection := x.s.entry.Admit(now, x.call)
+	admitted, rejection := x.s.entry.Admit(now, x.call)
 	if rejection != nil {
 		return nil, rejectionProblem(rejection)
 	}
-	x.ticket = ticket
+	x.admitted = admitted
 	if x.verdict == suspect.Quarantined {
-		ticket.DisableResumes()
+		admitted.DisableResumes()
 	}
-	return ticket.Start(now), nil
+	return admitted.Start(now), nil
 }
 
 func rejectionProblem(r *entry.Rejection) *problem {
@@ -128,11 +129,11 @@
 	return p
 }
 
-// work runs until the request has its outcome.
-func (x *call) work(ctx, streamCtx context.Context, effects []dispatch.Effect) error {
-	ticker := time.NewTicker(callTick)
+// processEvents handles the request's events until it has an outcome.
+func (x *call) processEvents(ctx, streamCtx context.Context, effects []dispatch.Effect) error {
+	ticker := time.NewTicker(requestTickInterval)
 	defer ticker.Stop()
-	if finished, err := x.carryOut(streamCtx, effects); finished {
+	if finished, err := x.execute(streamCtx, effects); finished {
 		return err
 	}
 	for {
@@ -144,13 +145,13 @@
 		case <-ticker.C:
 			effects = x.tick()
 		case <-ctx.Done():
-			effects = x.ticket.CallerDisconnected()
+			effects = x.admitted.CallerDisconnected()
 		}
 		if err != nil {
-			// The caller cannot be written to any more.
-			effects = x.ticket.CallerDisconnected()
+			// The connection to the caller is broken.
+			effects = x.admitted.CallerDisconnected()
 		}
-		if finished, err := x.carryOut(streamCtx, effects); finished {
+		if finished, err := x.execute(streamCtx, effects); finished {
 			return err
 		}
 	}
@@ -159,20 +160,20 @@
 func (x *call) tick() []dispatch.Effect {
 	var effects []dispatch.Effect
 	x.s.loop.Must(func(now time.Time) {
-		effects = x.ticket.Tick(now)
+		effects = x.admitted.Tick(now)
 		for n, a := range x.attempts {
-			if !a.settled && now.Sub(a.since) > offerTimeout {
+			if !a.settled && now.Sub(a.offeredAt) > offerTimeout {
 				x.settle(now, a, true)
 				a.cancel()
-				effects = append(effects, x.ticket.AttemptLost(now, n, false)...)
+				effects = append(effects, x.admitted.AttemptLost(now, n, false)...)
 			}
 		}
 	})
 	return effects
 }
 
-// carryOut carries out effects. It reports true with the request's end.
-func (x *call) carryOut(ctx context.Context, effects []dispatch.Effect) (bool, error) {
+// execute executes effects. It returns true once the request has finished.
+func (x *call) execute(ctx context.Context, effects []dispatch.Effect) (bool, error) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case dispatch.Offer:
@@ -190,19 +191,19 @@
 	return false, nil
 }
 
-// finish answers the caller.
+// finish responds to the caller according to the outcome.
 func (x *call) finish(o dispatch.Outcome) error {
 	x.outcome = o
 	switch o.Result {
 	case dispatch.Completed:
-		x.completed = x.s.now()
+		x.completedAt = x.s.now()
 		return x.out.end()
 	case dispatch.Abandoned:
 		return nil
 	case dispatch.NotRun, dispatch.Unknown, dispatch.Incomplete, dispatch.AlreadyRun:
 	}
-	if x.harmful {
-		return x.out.problem(endsUpstreams(true))
+	if x.blockedDuringRun {
+		return x.out.problem(crashProblem(true))
 	}
-	return x.out.problem(problemOf(o))
+	return x.out.problem(outcomeProblem(o))
 }
--- a/internal/edge/entryd/chat.go
+++ b/internal/edge/entryd/chat.go
@@ -14,11 +14,13 @@
 
 const (
 	chatPath = "/v1/chat/completions"
-	// prefixBytes is how much of the first message names a prompt's prefix.
+	// prefixBytes is the length of the beginning of the first message that is hashed as
+	// the prompt prefix.
 	prefixBytes = 2048
 )
 
-// chatRequest is what the entry reads of a request; the rest passes through.
+// chatRequest holds the fields of a request that the entry reads. All other fields are
+// forwarded unchanged.
 type chatRequest struct {
 	Model               string            `json:"model"`
 	Messages            []json.RawMessage `json:"messages"`
@@ -32,48 +34,48 @@
 	Audio               json.RawMessage   `json:"audio"`
 }
 
-// check names the first faulty field.
-func (r *chatRequest) check() *problem {
+// validate returns the error of the first invalid field, if any.
+func (r *chatRequest) validate() *problem {
 	switch {
 	case r.Model == "":
-		return invalid("model", "The model must be named.")
+		return invalidRequest("model", "The model must be named.")
 	case len(r.Messages) == 0:
-		return invalid("messages", "There must be at least one message.")
+		return invalidRequest("messages", "There must be at least one message.")
 	case r.N != nil && (*r.N < 1 || *r.N > maxChoices):
-		return invalid("n", "The number of choices must be from 1 to 16.")
+		return invalidRequest("n", "The number of choices must be from 1 to 16.")
 	case r.MaxTokens != nil && *r.MaxTokens < 1:
-		return invalid("max_tokens", "The number of tokens must be above 0.")
+		return invalidRequest("max_tokens", "The number of tokens must be above 0.")
 	case r.MaxCompletionTokens != nil && *r.MaxCompletionTokens < 1:
-		return invalid("max_completion_tokens", "The number of tokens must be above 0.")
+		return invalidRequest("max_completion_tokens", "The number of tokens must be above 0.")
 	default:
 		return nil
 	}
 }
 
-// streamable reports whether an answer that is not streamed can be joined from
-// a stream, which lets it be preempted and continued.
+// streamable reports whether a non-streaming response can be assembled from a stream.
+// This allows the run to be preempted and resumed.
 func (r *chatRequest) streamable() bool {
 	return r.Tools == nil && r.Functions == nil && r.Logprobs == nil && r.Audio == nil
 }
 
-func (r *chatRequest) prefix() uint64 {
+func (r *chatRequest) prefixHash() uint64 {
 	first := r.Messages[0]
 	return xxhash.Sum64(first[:min(len(first), prefixBytes)])
 }
 
-// parseChat reads and checks a request.
+// parseChat parses and validates a request.
 func parseChat(body []byte) (*chatRequest, *problem) {
 	req := &chatRequest{}
 	if err := json.Unmarshal(body, req); err != nil {
-		return nil, invalid(jsonField(err), "The body is not a chat completion request: "+err.Error())
+		return nil, invalidRequest(jsonField(err), "The body is not a chat completion request: "+err.Error())
 	}
-	if p := req.check(); p != nil {
+	if p := req.validate(); p != nil {
 		return nil, p
 	}
 	return req, nil
 }
 
-// jsonField names the field that could not be read.
+// jsonField returns the name of the field that could not be decoded.
 func jsonField(err error) string {
 	if typed, ok := err.(*json.UnmarshalTypeError); ok && typed.Field != "" { //nolint:errorlint // Unmarshal returns it as it is.
 		return typed.Field
@@ -81,8 +83,8 @@
 	return "body"
 }
 
-// withStream returns the body with streaming and its usage switched on.
-func withStream(body []byte) ([]byte, error) {
+// withStreaming returns the body with streaming and usage reports enabled.
+func withStreaming(body []byte) ([]byte, error) {
 	fields := make(map[string]json.RawMessage)
 	if err := json.Unmarshal(body, &fields); err != nil {
 		return nil, err
@@ -92,7 +94,7 @@
 	return json.Marshal(fields)
 }
 
-// chat serves a chat completion.
+// chat handles a chat completion.
 func (s *Server) chat(c echo.Context) error {
 	cfg, p := s.config()
 	if p != nil {
@@ -117,79 +119,79 @@
 			message: "There is no model of this name.",
 		}).write(c)
 	}
-	class, p := classOf(cfg, o, pool, c.Request())
+	class, p := resolveClass(cfg, o, pool, c.Request())
 	if p != nil {
 		return p.write(c)
 	}
-	var out responder = &relay{c: c, patience: s.o.ReadPatience}
+	var out responder = &relay{c: c, writeTimeout: s.o.ReadPatience}
 	if !req.Stream && req.streamable() {
-		out = &assembled{c: c}
-		if body, p = streamed(body); p != nil {
+		out = &assembler{c: c}
+		if body, p = enableStreaming(body); p != nil {
 			return p.write(c)
 		}
 	}
-	return s.carry(c, carried{
-		call: entry.Call{Organisation: o, Class: class, Pool: pool, Prefix: req.prefix()},
+	return s.forward(c, forwardedRequest{
+		call: entry.Call{Organisation: o, Class: class, Pool: pool, Prefix: req.prefixHash()},
 		path: chatPath,
 		body: body,
 		out:  out,
 	})
 }
 
-func streamed(body []byte) ([]byte, *problem) {
-	out, err := withStream(body)
+func enableStreaming(body []byte) ([]byte, *problem) {
+	out, err := withStreaming(body)
 	if err != nil {
-		return nil, invalid("body", err.Error())
+		return nil, invalidRequest("body", err.Error())
 	}
 	return out, nil
 }
 
-// carried is a checked request and how it is answered.
-type carried struct {
+// forwardedRequest is a validated request and the responder for it.
+type forwardedRequest struct {
 	call entry.Call
 	path string
 	body []byte
 	out  responder
 }
 
-// carry takes a checked request to its outcome.
-func (s *Server) carry(c echo.Context, r carried) error {
-	key := c.Request().Header.Get(KeyHeader)
-	host, incarnation, p := s.bound(key)
+// forward runs a validated request until it has an outcome.
+func (s *Server) forward(c echo.Context, r forwardedRequest) error {
+	key := c.Request().Header.Get(IdempotencyKeyHeader)
+	host, incarnation, p := s.keyIssuer(key)
 	if p != nil {
 		return p.write(c)
 	}
 	r.call.Bound = host
 	x := &call{
-		s:     s,
-		id:    newID(),
-		call:  r.call,
-		key:   key,
-		out:   r.out,
-		bound: incarnation,
-	}
-	c.Response().Header().Set(RequestHeader, x.id)
+		s:         s,
+		id:        newID(),
+		call:      r.call,
+		key:       key,
+		out:       r.out,
+		keyIssuer: incarnation,
+	}
+	c.Response().Header().Set(RequestIDHeader, x.id)
 	x.run = &gladegaugev1.Run{
 		Method:  c.Request().Method,
 		Path:    r.path,
-		Headers: passedHeaders(c.Request(), x.id),
+		Headers: forwardedHeaders(c.Request(), x.id),
 		Body:    r.body,
 	}
 	return x.serve(c.Request().Context())
 }
 
-// keptHeaders stay at the entry: they are for it, or would let a library on
-// the way repeat the request.
-var keptHeaders = map[string]bool{
-	"Authorization": true, KeyHeader: true, "X-Idempotency-Key": true,
-	ClassHeader: true, RequestHeader: true, "Host": true, "Resume-Offset": true,
+// unforwardedHeaders are not sent to the upstream: they are addressed to the entry, or
+// could make an HTTP library on the way repeat the request.
+var unforwardedHeaders = map[string]bool{
+	"Authorization": true, IdempotencyKeyHeader: true, "X-Idempotency-Key": true,
+	ClassHeader: true, RequestIDHeader: true, "Host": true, "Resume-Offset": true,
 	"Accept-Encoding": true, "X-Priority": true, "Expect": true,
 }
 
-func passedHeaders(r *http.Request, id string) []*gladegaugev1.Header {
-	headers := []*gladegaugev1.Header{{Name: RequestHeader, Value: id}}
+func forwardedHeaders(r *http.Request, id string) []*gladegaugev1.Header {
+	headers := []*gladegaugev1.Header{{Name: RequestIDHeader, Value: id}}
 	for name, values := range r.Header {
-		if hopHeaders[name] || keptHeaders[name] {
+		if hopByHopHeaders[name] || unforwardedHeaders[name] {
 			continue
 		}
 		for _, v := range values {
--- a/internal/edge/entryd/chat_test.go
+++ b/internal/edge/entryd/chat_test.go
@@ -20,40 +20,41 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		req, p := parseChat(body)
 		if (req == nil) == (p == nil) {
-			t.Fatal("a request or a problem")
+			t.Fatal("want either a request or a problem")
 		}
 		if p != nil {
 			if p.param == "" || !p.notRun {
-				t.Fatalf("a problem without its field: %+v", p)
+				t.Fatalf("problem without a field, or not marked as not run: %+v", p)
 			}
 			return
 		}
-		_ = req.prefix()
-		out, err := withStream(body)
+		_ = req.prefixHash()
+		out, err := withStreaming(body)
 		if err != nil || !json.Valid(out) {
 			t.Fatalf("%v %s", err, out)
 		}
 	})
 }
 
-func FuzzAssembled(f *testing.F) {
+func FuzzAssembler(f *testing.F) {
 	f.Add([]byte("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"x\"}}]}\n\n"))
 	f.Add([]byte("data: {\"choices\":[{\"index\":-5}]}\n\ndata: [DONE]\n\n"))
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		c := echo.New().NewContext(httptest.NewRequest(http.MethodPost, "/", nil), httptest.NewRecorder())
-		o := &assembled{c: c}
+		o := &assembler{c: c}
 		_ = o.head(&gladegaugev1.Head{Status: 200, Headers: []*gladegaugev1.Header{{Name: "Content-Type", Value: "text/event-stream"}}})
 		_ = o.chunk(data)
 		_ = o.end()
 	})
 }
 
-// TestSlowReader relays to a caller that never reads: the entry gives up.
+// TestSlowReader checks that the entry gives up on a caller that never reads, instead of
+// occupying an upstream slot without end.
 func TestSlowReader(t *testing.T) {
 	is := is.New(t)
 	ended := make(chan error, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		o := &relay{c: echo.New().NewContext(r, w), patience: 50 * time.Millisecond}
+		o := &relay{c: echo.New().NewContext(r, w), writeTimeout: 50 * time.Millisecond}
 		err := o.head(&gladegaugev1.Head{Status: 200, Headers: []*gladegaugev1.Header{{Name: "Content-Type", Value: "text/event-stream"}}})
 		piece := make([]byte, 1<<20)
 		for err == nil {
@@ -68,12 +69,12 @@
 	is.True(<-ended != nil)
 }
 
-// TestSecondHead takes the head of a second attempt after the first broke off
-// before its first piece.
+// TestSecondHead checks that the response head of a second attempt replaces that of a
+// first attempt that failed before its first chunk.
 func TestSecondHead(t *testing.T) {
 	is := is.New(t)
 	w := httptest.NewRecorder()
-	w.Header().Set(RequestHeader, "mine")
+	w.Header().Set(RequestIDHeader, "mine")
 	o := &relay{c: echo.New().NewContext(httptest.NewRequest(http.MethodPost, "/", nil), w)}
 	head := &gladegaugev1.Head{Status: 200, Headers: []*gladegaugev1.Header{
 		{Name: "Content-Type", Value: "application/json"}, {Name: "Via", Value: "a"}, {Name: "Via", Value: "b"},
@@ -83,15 +84,15 @@
 	is.NoErr(o.head(head))
 	is.Equal(w.Header().Values("Content-Type"), []string{"application/json"})
 	is.Equal(w.Header().Values("Via"), []string{"a", "b"})
-	is.Equal(w.Header().Values(RequestHeader), []string{"mine"})
+	is.Equal(w.Header().Values(RequestIDHeader), []string{"mine"})
 	is.Equal(w.Header().Values("Connection"), nil)
 }
 
-// TestAssembled joins a stream with two choices and its usage.
-func TestAssembled(t *testing.T) {
+// TestAssembler assembles a stream with two choices and a usage report.
+func TestAssembler(t *testing.T) {
 	is := is.New(t)
 	w := httptest.NewRecorder()
-	o := &assembled{c: echo.New().NewContext(httptest.NewRequest(http.MethodPost, "/", nil), w)}
+	o := &assembler{c: echo.New().NewContext(httptest.NewRequest(http.MethodPost, "/", nil), w)}
 	is.NoErr(o.head(&gladegaugev1.Head{Status: 200, Headers: []*gladegaugev1.Header{{Name: "Content-Type", Value: "text/event-stream"}}}))
 	for _, text := range []string{
 		`{"id":"i","model":"m","choices":[{"index":0,"delta":{"role":"assistant"}}]}`,
--- a/internal/edge/entryd/errors.go
+++ b/internal/edge/entryd/errors.go
@@ -12,46 +12,46 @@
 	"github.com/gladegauge/gladegauge/internal/core/dispatch"
 )
 
-// Code is the stable name of an error that a caller sees.
+// Code is the stable identifier of an error in responses to callers.
 type Code string
 
-// Codes of errors.
+// Error codes.
 const (
-	CodeInvalidKey      Code = "invalid_api_key"
-	CodeClassNotAllowed Code = "class_not_allowed"
-	CodeClassNotServed  Code = "class_not_served"
-	CodeUnknownClass    Code = "unknown_class"
-	CodeNoDefaultClass  Code = "no_default_class"
-	CodeUnknownModel    Code = "model_not_found"
-	CodeUnknownService  Code = "service_not_found"
-	CodeInvalidRequest  Code = "invalid_request"
-	CodeTooLarge        Code = "request_too_large"
-	CodeBadIdempotency  Code = "invalid_idempotency_key"
-	CodeRateLimited     Code = "rate_limited"
-	CodeOverloaded      Code = "overloaded"
-	CodeTooLate         Code = "too_late"
-	CodeNoUpstream      Code = "no_upstream"
-	CodeNotReady        Code = "not_ready"
-	CodeOutcomeUnknown  Code = "outcome_unknown"
-	CodeIncomplete      Code = "answer_incomplete"
-	CodeAlreadyRun      Code = "already_run"
-	CodeEndsUpstreams   Code = "ends_upstreams"
-	CodeNotFound        Code = "not_found"
-	CodeInternal        Code = "internal"
+	CodeInvalidAPIKey         Code = "invalid_api_key"
+	CodeClassNotAllowed       Code = "class_not_allowed"
+	CodeClassNotServed        Code = "class_not_served"
+	CodeUnknownClass          Code = "unknown_class"
+	CodeNoDefaultClass        Code = "no_default_class"
+	CodeUnknownModel          Code = "model_not_found"
+	CodeUnknownService        Code = "service_not_found"
+	CodeInvalidRequest        Code = "invalid_request"
+	CodeTooLarge              Code = "request_too_large"
+	CodeInvalidIdempotencyKey Code = "invalid_idempotency_key"
+	CodeRateLimited           Code = "rate_limited"
+	CodeOverloaded            Code = "overloaded"
+	CodeTooLate               Code = "too_late"
+	CodeNoUpstream            Code = "no_upstream"
+	CodeNotReady              Code = "not_ready"
+	CodeOutcomeUnknown        Code = "outcome_unknown"
+	CodeIncomplete            Code = "answer_incomplete"
+	CodeAlreadyRun            Code = "already_run"
+	CodeCrashesUpstreams      Code = "ends_upstreams"
+	CodeNotFound              Code = "not_found"
+	CodeInternal              Code = "internal"
 )
 
-// problem is an error as a caller sees it.
+// problem is an error response to a caller.
 type problem struct {
-	status     int
-	code       Code
-	param      string
-	message    string
-	notRun     bool
-	unknown    bool
-	retryAfter time.Duration
+	status         int
+	code           Code
+	param          string
+	message        string
+	notRun         bool
+	outcomeUnknown bool
+	retryAfter     time.Duration
 }
 
-// errorBody has the shape of the OpenAI API's errors.
+// errorBody has the format of OpenAI API errors.
 type errorBody struct {
 	Error errorFields `json:"error"`
 }
@@ -72,7 +72,7 @@
 		Type:           errorType(p.status),
 		Code:           p.code,
 		NotRun:         p.notRun,
-		OutcomeUnknown: p.unknown,
+		OutcomeUnknown: p.outcomeUnknown,
 		RetryAfterMs:   p.retryAfter.Milliseconds(),
 	}
 	if p.param != "" {
@@ -96,8 +96,8 @@
 	}
 }
 
-// write sends the error. Clients of the OpenAI API retry by themselves unless
-// told not to, so that is said for what must not be repeated blindly.
+// write sends the error. Clients of the OpenAI API retry on their own, so X-Should-Retry
+// forbids it unless the request did not run and a retry delay is known.
 func (p *problem) write(c echo.Context) error {
 	h := c.Response().Header()
 	if p.retryAfter > 0 {
@@ -110,19 +110,19 @@
 	return c.JSON(p.status, p.body())
 }
 
-func invalid(param, message string) *problem {
+func invalidRequest(param, message string) *problem {
 	return &problem{status: http.StatusBadRequest, code: CodeInvalidRequest, param: param, message: message, notRun: true}
 }
 
-// problemOf returns the error of an outcome that is no complete answer.
-func problemOf(o dispatch.Outcome) *problem {
+// outcomeProblem returns the error for an outcome without a complete response.
+func outcomeProblem(o dispatch.Outcome) *problem {
 	switch o.Result {
 	case dispatch.Unknown:
 		return &problem{
-			status:  http.StatusBadGateway,
-			code:    CodeOutcomeUnknown,
-			message: "The connection to the upstream was lost after the request had been handed over. It may have run; it will not be repeated.",
-			unknown: true,
+			status:         http.StatusBadGateway,
+			code:           CodeOutcomeUnknown,
+			message:        "The connection to the upstream was lost after the request had been handed over. It may have run; it will not be repeated.",
+			outcomeUnknown: true,
 		}
 	case dispatch.Incomplete:
 		return &problem{
@@ -133,10 +133,10 @@
 		}
 	case dispatch.AlreadyRun:
 		return &problem{
-			status:  http.StatusConflict,
-			code:    CodeAlreadyRun,
-			message: "A request with this idempotency key has run before; this one was not run.",
-			unknown: true,
+			status:         http.StatusConflict,
+			code:           CodeAlreadyRun,
+			message:        "A request with this idempotency key has run before; this one was not run.",
+			outcomeUnknown: true,
 		}
 	case dispatch.NotRun, dispatch.Completed, dispatch.Abandoned:
 	}
@@ -154,7 +154,7 @@
 		p.message = "The request could not begin while its answer still mattered. It was not run."
 	case agent.UnknownKey:
 		p.status = http.StatusBadRequest
-		p.code = CodeBadIdempotency
+		p.code = CodeInvalidIdempotencyKey
 		p.param = "Idempotency-Key"
 		p.retryAfter = 0
 		p.message = "The idempotency key was not issued for this organisation and class, or has expired. The request was not run."
--- a/internal/edge/entryd/handler.go
+++ b/internal/edge/entryd/handler.go
@@ -19,27 +19,27 @@
 
 // Headers of the callers' API.
 const (
-	// ClassHeader names the class of a request.
+	// ClassHeader is the class of a request.
 	ClassHeader = "X-Gladegauge-Class"
-	// KeyHeader carries an idempotency key that an entry issued.
-	KeyHeader = "Idempotency-Key"
-	// RequestHeader carries the entry's identity of a request.
-	RequestHeader = "X-Request-Id"
+	// IdempotencyKeyHeader is an idempotency key that an entry issued.
+	IdempotencyKeyHeader = "Idempotency-Key"
+	// RequestIDHeader is the ID that the entry assigned to a request.
+	RequestIDHeader = "X-Request-Id"
 )
 
-// handler routes the callers' requests.
+// handler routes the requests of callers.
 func (s *Server) handler() http.Handler {
 	e := echo.New()
 	e.HideBanner = true
 	e.HTTPErrorHandler = s.onEchoError
-	e.Use(s.guard)
+	e.Use(s.limitMiddleware)
 	e.GET("/v1/models", s.models)
 	e.POST("/v1/chat/completions", s.chat)
 	e.POST("/v1/idempotency-keys", s.issueKey)
 	e.Any("/services/:service", s.service)
 	e.Any("/services/:service/*", s.service)
 	e.GET("/readyz", func(c echo.Context) error {
-		if reason := s.notReady(); reason != "" {
+		if reason := s.notReadyReason(); reason != "" {
 			return c.String(http.StatusServiceUnavailable, reason+"\n")
 		}
 		return c.String(http.StatusOK, "ready\n")
@@ -47,12 +47,12 @@
 	return e
 }
 
-// onEchoError answers requests that no handler took.
+// onEchoError responds to requests that no handler accepted.
 func (s *Server) onEchoError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
-	p := &problem{status: http.StatusInternalServerError, code: CodeInternal, message: "The answer could not be written.", unknown: true}
+	p := &problem{status: http.StatusInternalServerError, code: CodeInternal, message: "The answer could not be written.", outcomeUnknown: true}
 	var he *echo.HTTPError
 	if errors.As(err, &he) {
 		p = &problem{status: he.Code, code: CodeNotFound, message: "There is no such path or method.", notRun: true}
@@ -60,8 +60,9 @@
 	_ = p.write(c)
 }
 
-// guard counts requests in progress and bounds the body in size and time.
-func (s *Server) guard(next echo.HandlerFunc) echo.HandlerFunc {
+// limitMiddleware counts requests in progress and limits the size of the body and the
+// time for sending it.
+func (s *Server) limitMiddleware(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		s.inFlight.Add(1)
 		defer s.inFlight.Add(-1)
@@ -72,7 +73,7 @@
 	}
 }
 
-// authenticate returns the organisation of the bearer key.
+// authenticate returns the organisation that owns the bearer key.
 func authenticate(cfg *config.Config, r *http.Request) (*config.Organisation, *problem) {
 	bearer, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if ok {
@@ -82,14 +83,14 @@
 	}
 	return nil, &problem{
 		status:  http.StatusUnauthorized,
-		code:    CodeInvalidKey,
+		code:    CodeInvalidAPIKey,
 		param:   "Authorization",
 		message: "The bearer key is missing or belongs to no organisation.",
 		notRun:  true,
 	}
 }
 
-// config returns the configuration in force, or why there is none to rely on.
+// config returns the current configuration, or an error if it is not confirmed yet.
 func (s *Server) config() (*config.Config, *problem) {
 	cfg := s.snapshot.Load()
 	if cfg == nil || !s.ready.Load() {
@@ -104,7 +105,7 @@
 	return cfg, nil
 }
 
-// readBody reads the request's body within its bounds.
+// readBody reads the request body within the limits on its size and time.
 func readBody(c echo.Context) ([]byte, *problem) {
 	body, err := io.ReadAll(c.Request().Body)
 	var tooLarge *http.MaxBytesError
@@ -131,18 +132,19 @@
 	}
 }
 
-// classOf returns the class of a request for a target.
-func classOf(cfg *config.Config, o *config.Organisation, p *config.Pool, r *http.Request) (*config.Class, *problem) {
+// resolveClass returns the class of a request to a pool: the one in the header, or else
+// the default of the organisation.
+func resolveClass(cfg *config.Config, o *config.Organisation, p *config.Pool, r *http.Request) (*config.Class, *problem) {
 	name := r.Header.Get(ClassHeader)
 	if name == "" {
-		preset, ok := o.DefaultClass(p.Target())
+		defaultName, ok := o.DefaultClass(p.Target())
 		if !ok {
 			return nil, &problem{
 				status: http.StatusBadRequest, code: CodeNoDefaultClass, param: ClassHeader, notRun: true,
 				message: "The organisation has no default class for " + p.Target() + "; the header must be set.",
 			}
 		}
-		name = preset
+		name = defaultName
 	}
 	class, ok := cfg.Class(name)
 	switch {
@@ -165,16 +167,17 @@
 	return class, nil
 }
 
-// bound returns the agent of the request's idempotency key, if it has one. A
-// key whose agent is gone has an unknown outcome.
-func (s *Server) bound(key string) (member.Host, string, *problem) {
+// keyIssuer returns the agent that issued the idempotency key of a request, if it has
+// one, and the agent's incarnation. If that agent is gone, it is unknown whether an
+// earlier use of the key ran.
+func (s *Server) keyIssuer(key string) (member.Host, string, *problem) {
 	if key == "" {
 		return member.Host{}, "", nil
 	}
 	id, incarnation, ok := agent.KeyAgent(key)
 	if !ok {
 		return member.Host{}, "", &problem{
-			status: http.StatusBadRequest, code: CodeBadIdempotency, param: KeyHeader, notRun: true,
+			status: http.StatusBadRequest, code: CodeInvalidIdempotencyKey, param: IdempotencyKeyHeader, notRun: true,
 			message: "The key was not issued by /v1/idempotency-keys. The request was not run.",
 		}
 	}
@@ -182,7 +185,7 @@
 	s.loop.Must(func(time.Time) { host, ok = s.entry.Table().Host(id) })
 	if !ok {
 		return member.Host{}, "", &problem{
-			status: http.StatusBadGateway, code: CodeOutcomeUnknown, param: KeyHeader, unknown: true,
+			status: http.StatusBadGateway, code: CodeOutcomeUnknown, param: IdempotencyKeyHeader, outcomeUnknown: true,
 			message: "The process that holds the key is gone; whether an earlier use of the key ran is unknown.",
 		}
 	}
@@ -210,15 +213,15 @@
 		Data   []model `json:"data"`
 	}{Object: "list", Data: []model{}}
 	for _, pool := range cfg.Pools() {
-		if pool.Kind == config.KindModel && opens(cfg, pool, o) {
+		if pool.Kind == config.KindModel && mayUse(cfg, pool, o) {
 			list.Data = append(list.Data, model{ID: pool.Model, Object: "model", OwnedBy: "gladegauge"})
 		}
 	}
 	return c.JSON(http.StatusOK, list)
 }
 
-// opens reports whether the organisation may use any class of the pool.
-func opens(cfg *config.Config, p *config.Pool, o *config.Organisation) bool {
+// mayUse reports whether the organisation may use any class of the pool.
+func mayUse(cfg *config.Config, p *config.Pool, o *config.Organisation) bool {
 	for _, name := range p.Classes {
 		if class, ok := cfg.Class(name); ok && class.Allows(o.Name) {
 			return true
@@ -227,12 +230,12 @@
 	return false
 }
 
-// keyRequest asks for an idempotency key.
+// keyRequest is the body of a request for an idempotency key.
 type keyRequest struct {
 	Target string `json:"target"`
 }
 
-// issueKey gives out an idempotency key for a plain service or model.
+// issueKey issues an idempotency key for a plain service or model.
 func (s *Server) issueKey(c echo.Context) error {
 	cfg, p := s.config()
 	if p != nil {
@@ -248,15 +251,15 @@
 	}
 	var req keyRequest
 	if err := json.Unmarshal(body, &req); err != nil {
-		return invalid("body", "The body is not JSON: "+err.Error()).write(c)
+		return invalidRequest("body", "The body is not JSON: "+err.Error()).write(c)
 	}
 	pool, ok := cfg.PoolFor(req.Target)
 	if !ok {
-		return invalid("target", "There is no model or plain service of this name.").write(c)
+		return invalidRequest("target", "There is no model or plain service of this name.").write(c)
 	}
-	class, p := classOf(cfg, o, pool, c.Request())
+	class, p := resolveClass(cfg, o, pool, c.Request())
 	if p != nil {
 		return p.write(c)
 	}
-	return s.askForKey(c, entry.Call{Organisation: o, Class: class, Pool: pool})
+	return s.issueKeyAtAgent(c, entry.Call{Organisation: o, Class: class, Pool: pool})
 }
--- a/internal/edge/entryd/operator.go
+++ b/internal/edge/entryd/operator.go
@@ -15,27 +15,27 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// operator answers operators.
-type operator struct{ s *Server }
+// operatorService implements the OperatorService.
+type operatorService struct{ s *Server }
 
 func unavailable(err error) error {
 	return connect.NewError(connect.CodeUnavailable, err)
 }
 
-// Status tells what the entry does and knows now.
-func (o *operator) Status(ctx context.Context, _ *connect.Request[gladegaugev1.StatusRequest]) (*connect.Response[gladegaugev1.StatusResponse], error) {
+// Status returns the state of the entry, the known hosts and the agents in use.
+func (o *operatorService) Status(ctx context.Context, _ *connect.Request[gladegaugev1.StatusRequest]) (*connect.Response[gladegaugev1.StatusResponse], error) {
 	resp := &gladegaugev1.StatusResponse{
 		Id:         o.s.o.ID,
 		Role:       gladegaugev1.Role_ROLE_ENTRY,
 		Zone:       o.s.o.Zone,
-		Ready:      o.s.notReady() == "",
+		Ready:      o.s.notReadyReason() == "",
 		Leaving:    o.s.leaving.Load(),
 		InProgress: uint32(o.s.inFlight.Load()),
 		Build:      program.Version(),
 	}
 	err := o.s.loop.Do(ctx, func(now time.Time) {
 		resp.Version = o.s.sync.Version()
-		for _, h := range o.s.set.All() {
+		for _, h := range o.s.members.All() {
 			resp.Hosts = append(resp.Hosts, hostMessage(h))
 		}
 		if o.s.entry == nil {
@@ -82,8 +82,8 @@
 	}
 }
 
-// Check gives the verdict on a configuration, and what it would change.
-func (o *operator) Check(ctx context.Context, req *connect.Request[gladegaugev1.CheckRequest]) (*connect.Response[gladegaugev1.CheckResponse], error) {
+// Check validates a configuration and lists the changes from the current one.
+func (o *operatorService) Check(ctx context.Context, req *connect.Request[gladegaugev1.CheckRequest]) (*connect.Response[gladegaugev1.CheckResponse], error) {
 	cfg, faults := config.New(req.Msg.GetConfiguration())
 	resp := &gladegaugev1.CheckResponse{Accepted: len(faults) == 0}
 	for _, f := range faults {
@@ -93,18 +93,18 @@
 		return connect.NewResponse(resp), nil
 	}
 	err := o.s.loop.Do(ctx, func(time.Time) {
-		inForce := o.s.sync.Config()
-		if inForce == nil {
+		current := o.s.sync.Config()
+		if current == nil {
 			return
 		}
-		if cfg.Revision() <= inForce.Revision() && cfg.Digest() != inForce.Digest() {
+		if cfg.Revision() <= current.Revision() && cfg.Digest() != current.Digest() {
 			resp.Accepted = false
 			resp.Faults = append(resp.Faults, &gladegaugev1.Fault{
 				Field:   "revision",
-				Problem: fmt.Sprintf("%d is not above the revision in force, %d", cfg.Revision(), inForce.Revision()),
+				Problem: fmt.Sprintf("%d is not above the revision in force, %d", cfg.Revision(), current.Revision()),
 			})
 		}
-		resp.Changes = config.Changes(inForce, cfg)
+		resp.Changes = config.Changes(current, cfg)
 	})
 	if err != nil {
 		return nil, unavailable(err)
@@ -112,8 +112,8 @@
 	return connect.NewResponse(resp), nil
 }
 
-// Explain tells what would become of a request of a class now.
-func (o *operator) Explain(ctx context.Context, req *connect.Request[gladegaugev1.ExplainRequest]) (*connect.Response[gladegaugev1.ExplainResponse], error) {
+// Explain returns the expected handling of a request of a class.
+func (o *operatorService) Explain(ctx context.Context, req *connect.Request[gladegaugev1.ExplainRequest]) (*connect.Response[gladegaugev1.ExplainResponse], error) {
 	resp := &gladegaugev1.ExplainResponse{}
 	err := o.s.loop.Do(ctx, func(now time.Time) {
 		if o.s.entry == nil {
@@ -132,8 +132,8 @@
 	return connect.NewResponse(resp), nil
 }
 
-// Burn returns this entry's counts of requests and misses.
-func (o *operator) Burn(ctx context.Context, _ *connect.Request[gladegaugev1.BurnRequest]) (*connect.Response[gladegaugev1.BurnResponse], error) {
+// Burn returns the counts of requests and misses at this entry.
+func (o *operatorService) Burn(ctx context.Context, _ *connect.Request[gladegaugev1.BurnRequest]) (*connect.Response[gladegaugev1.BurnResponse], error) {
 	resp := &gladegaugev1.BurnResponse{}
 	err := o.s.loop.Do(ctx, func(time.Time) {
 		for _, c := range o.s.burn.Cells() {
@@ -149,9 +149,9 @@
 	return connect.NewResponse(resp), nil
 }
 
-// Drain makes the entry unready; requests that still come are served.
-func (o *operator) Drain(context.Context, *connect.Request[gladegaugev1.DrainRequest]) (*connect.Response[gladegaugev1.DrainResponse], error) {
+// Drain makes the entry unready. Requests that still arrive are served.
+func (o *operatorService) Drain(context.Context, *connect.Request[gladegaugev1.DrainRequest]) (*connect.Response[gladegaugev1.DrainResponse], error) {
 	o.s.leaving.Store(true)
-	o.s.o.Log.Info().Msg("drained by an operator: not ready any more")
+	o.s.o.Log.Info().Msg("drain requested by an operator; entry is not ready")
 	return connect.NewResponse(&gladegaugev1.DrainResponse{InProgress: uint32(o.s.inFlight.Load())}), nil
 }
--- a/internal/edge/entryd/respond.go
+++ b/internal/edge/entryd/respond.go
@@ -14,40 +14,41 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// bufferUpTo is the size up to which a plain answer is held until it is
-// complete, so that a broken one becomes a clear error.
-const bufferUpTo = 1 << 20
+// maxBufferedBytes is the size up to which a response that is not a stream is buffered
+// until it is complete, so that an interrupted one results in an explicit error.
+const maxBufferedBytes = 1 << 20
 
-// hopHeaders are not passed on between connections.
-var hopHeaders = map[string]bool{
+// hopByHopHeaders apply to a single connection and are not forwarded.
+var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
 }
 
-// relay passes the answer on. Streams go out at once; other answers are held
-// until complete, up to a size.
+// relay forwards the response. Event streams are flushed at once; other responses are
+// buffered until they are complete, up to a size limit.
 type relay struct {
 	c echo.Context
-	// patience is how long the caller may take to read a piece.
-	patience time.Duration
-	status   int
-	stream   bool
-	held     bytes.Buffer
-	started  bool
+	// writeTimeout is the time within which the caller must read a chunk.
+	writeTimeout time.Duration
+	status       int
+	stream       bool
+	buffered     bytes.Buffer
+	headSent     bool
 }
 
 func (o *relay) head(h *gladegaugev1.Head) error {
 	o.status = int(h.GetStatus())
 	out := o.c.Response().Header()
-	// An attempt that broke off before its first piece may have left a head.
+	// The head of an earlier attempt that failed before its first chunk may be set
+	// already.
 	for _, header := range h.GetHeaders() {
-		if passes(header) {
+		if forwardable(header) {
 			out.Del(header.GetName())
 		}
 	}
 	for _, header := range h.GetHeaders() {
-		if passes(header) {
+		if forwardable(header) {
 			out.Add(header.GetName(), header.GetValue())
 		}
 	}
@@ -55,23 +56,24 @@
 	return nil
 }
 
-// passes reports whether an upstream's header goes to the caller. The identity
-// of the request is the entry's own.
-func passes(h *gladegaugev1.Header) bool {
+// forwardable reports whether a header of the upstream is sent to the caller. The request
+// ID is always the one that the entry assigned.
+func forwardable(h *gladegaugev1.Header) bool {
 	name := http.CanonicalHeaderKey(h.GetName())
-	return !hopHeaders[name] && name != RequestHeader
+	return !hopByHopHeaders[name] && name != RequestIDHeader
 }
 
 func (o *relay) chunk(data []byte) error {
-	if !o.stream && !o.started && o.held.Len()+len(data) <= bufferUpTo {
-		o.held.Write(data)
+	if !o.stream && !o.headSent && o.buffered.Len()+len(data) <= maxBufferedBytes {
+		o.buffered.Write(data)
 		return nil
 	}
-	if err := o.begin(); err != nil {
+	if err := o.sendHead(); err != nil {
 		return err
 	}
-	// A caller that does not read would hold an upstream's slot for good.
-	_ = http.NewResponseController(o.c.Response()).SetWriteDeadline(clock.Deadline(o.patience))
+	// Without a deadline, a caller that stops reading would occupy an upstream slot
+	// indefinitely.
+	_ = http.NewResponseController(o.c.Response()).SetWriteDeadline(clock.Deadline(o.writeTimeout))
 	if _, err := o.c.Response().Write(data); err != nil {
 		return err
 	}
@@ -81,44 +83,44 @@
 	return nil
 }
 
-// begin sends the head and what was held.
-func (o *relay) begin() error {
-	if o.started {
+// sendHead sends the head and the buffered part of the body.
+func (o *relay) sendHead() error {
+	if o.headSent {
 		return nil
 	}
-	o.started = true
+	o.headSent = true
 	o.c.Response().WriteHeader(o.status)
-	_, err := o.c.Response().Write(o.held.Bytes())
+	_, err := o.c.Response().Write(o.buffered.Bytes())
 	return err
 }
 
-func (o *relay) end() error { return o.begin() }
+func (o *relay) end() error { return o.sendHead() }
 
-// errCut asks for the caller's connection to be closed, since its answer has
-// begun and cannot be completed: a part must not pass for the whole.
-var errCut = errors.New("the answer was cut off")
+// errTruncated requests that the connection to the caller is closed, because a response
+// that has begun cannot be completed. The caller must not mistake the part for the whole.
+var errTruncated = errors.New("response truncated")
 
-// problem answers with an error, or asks for the connection to be closed.
+// problem responds with an error, or requests that the connection is closed.
 func (o *relay) problem(p *problem) error {
-	if o.started {
-		return errCut
+	if o.headSent {
+		return errTruncated
 	}
 	clear(o.c.Response().Header())
 	return p.write(o.c)
 }
 
-// assembled joins a stream of completion chunks into one answer.
-type assembled struct {
-	c       echo.Context
-	status  int
-	headers http.Header
-	events  bool
-	raw     bytes.Buffer
-	answer  completion
-	broken  error
+// assembler assembles a stream of completion chunks into one response.
+type assembler struct {
+	c         echo.Context
+	status    int
+	headers   http.Header
+	events    bool
+	raw       bytes.Buffer
+	result    completion
+	decodeErr error
 }
 
-// completion is an answer of the OpenAI API that was not streamed.
+// completion is a non-streaming response of the OpenAI API.
 type completion struct {
 	ID      string          `json:"id"`
 	Object  string          `json:"object"`
@@ -139,7 +141,7 @@
 	Content string `json:"content"`
 }
 
-// completionChunk is one event of a streamed answer.
+// completionChunk is one event of a streaming response.
 type completionChunk struct {
 	ID      string `json:"id"`
 	Created int64  `json:"created"`
@@ -152,7 +154,7 @@
 	Usage json.RawMessage `json:"usage"`
 }
 
-func (o *assembled) head(h *gladegaugev1.Head) error {
+func (o *assembler) head(h *gladegaugev1.Head) error {
 	o.status = int(h.GetStatus())
 	o.headers = make(http.Header)
 	for _, header := range h.GetHeaders() {
@@ -162,7 +164,7 @@
 	return nil
 }
 
-func (o *assembled) chunk(data []byte) error {
+func (o *assembler) chunk(data []byte) error {
 	if !o.events {
 		o.raw.Write(data)
 		return nil
@@ -175,29 +177,29 @@
 	return nil
 }
 
-func (o *assembled) add(text []byte) {
+func (o *assembler) add(text []byte) {
 	if string(text) == "[DONE]" {
 		return
 	}
 	var chunk completionChunk
 	if err := json.Unmarshal(text, &chunk); err != nil {
-		o.broken = err
+		o.decodeErr = err
 		return
 	}
-	o.answer.ID = chunk.ID
-	o.answer.Created = chunk.Created
-	o.answer.Model = chunk.Model
+	o.result.ID = chunk.ID
+	o.result.Created = chunk.Created
+	o.result.Model = chunk.Model
 	if len(chunk.Usage) > 0 && string(chunk.Usage) != "null" {
-		o.answer.Usage = chunk.Usage
+		o.result.Usage = chunk.Usage
 	}
 	for _, part := range chunk.Choices {
-		for len(o.answer.Choices) <= part.Index && part.Index < maxChoices {
-			o.answer.Choices = append(o.answer.Choices, choice{Index: len(o.answer.Choices), Message: message{Role: "assistant"}})
+		for len(o.result.Choices) <= part.Index && part.Index < maxChoices {
+			o.result.Choices = append(o.result.Choices, choice{Index: len(o.result.Choices), Message: message{Role: "assistant"}})
 		}
-		if part.Index < 0 || part.Index >= len(o.answer.Choices) {
+		if part.Index < 0 || part.Index >= len(o.result.Choices) {
 			continue
 		}
-		to := &o.answer.Choices[part.Index]
+		to := &o.result.Choices[part.Index]
 		to.Message.Content += part.Delta.Content
 		if part.FinishReason != nil {
 			to.FinishReason = part.FinishReason
@@ -205,22 +207,22 @@
 	}
 }
 
-// maxChoices bounds the choices of one answer.
+// maxChoices is the maximum number of choices in one response.
 const maxChoices = 16
 
-func (o *assembled) end() error {
+func (o *assembler) end() error {
 	if !o.events {
 		return o.c.Blob(o.status, o.headers.Get("Content-Type"), o.raw.Bytes())
 	}
-	if o.broken != nil {
+	if o.decodeErr != nil {
 		return o.problem(&problem{
 			status:  http.StatusBadGateway,
 			code:    CodeIncomplete,
-			message: "The upstream's answer cannot be read: " + o.broken.Error(),
+			message: "The upstream's answer cannot be read: " + o.decodeErr.Error(),
 		})
 	}
-	o.answer.Object = "chat.completion"
-	return o.c.JSON(http.StatusOK, o.answer)
+	o.result.Object = "chat.completion"
+	return o.c.JSON(http.StatusOK, o.result)
 }
 
-func (o *assembled) problem(p *problem) error { return p.write(o.c) }
+func (o *assembler) problem(p *problem) error { return p.write(o.c) }
--- a/internal/edge/entryd/server.go
+++ b/internal/edge/entryd/server.go
@@ -1,5 +1,5 @@
-// Package entryd is the entry's process: it takes callers' requests, carries
-// them to agents and relays the answers.
+// Package entryd implements the entry process: it accepts requests from callers, forwards
+// them to agents and relays the responses.
 //
 // Callers speak the OpenAI-compatible HTTP API to model engines, and plain HTTP
 // to plain services. The class of a request comes from a header, or from the
@@ -38,12 +38,12 @@
 	"github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1/gladegaugev1connect"
 )
 
-// Times and sizes of the process.
+// Intervals and limits of the process.
 const (
-	tickEvery = 250 * time.Millisecond
-	// maxCallerHeader bounds the headers of a caller's request.
+	tickInterval = 250 * time.Millisecond
+	// maxCallerHeader limits the size of the headers of a request.
 	maxCallerHeader = 64 << 10
-	// callerHeaderTimeout and callerBodyTimeout bound a slow sender.
+	// callerHeaderTimeout and callerBodyTimeout limit the time for sending a request.
 	callerHeaderTimeout = 5 * time.Second
 	callerBodyTimeout   = 30 * time.Second
 	callerIdleTimeout   = 2 * time.Minute
@@ -57,33 +57,33 @@
 	CallerKey  string
 	MaxBody    int
 	DrainGrace time.Duration
-	// ReadPatience is how long a caller may take to read a piece of its answer.
+	// ReadPatience is the time within which a caller must read a chunk of the response.
 	ReadPatience time.Duration
 	Log          zerolog.Logger
 }
 
-// Server is one entry process.
+// Server is an entry process.
 type Server struct {
 	o *Options
-	// now tells the present time.
-	now      func() time.Time
-	loop     *loop.Loop
-	metrics  *metrics.Metrics
-	sync     *spread.Sync
-	rpcHTTP  *http.Client
-	leaving  atomic.Bool
-	ready    atomic.Bool
-	inFlight atomic.Int64
-	callers  *http.Server
-	// snapshot is read by traffic goroutines.
+	// now returns the current time.
+	now          func() time.Time
+	loop         *loop.Loop
+	metrics      *metrics.Metrics
+	sync         *spread.Sync
+	rpcHTTP      *http.Client
+	leaving      atomic.Bool
+	ready        atomic.Bool
+	inFlight     atomic.Int64
+	callerServer *http.Server
+	// snapshot is the current configuration, as read by request goroutines.
 	snapshot atomic.Pointer[config.Config]
 	// The fields below belong to the control loop.
-	entry *entry.Entry
-	set   *member.Set
-	burn  *burn.Ledger
+	entry   *entry.Entry
+	members *member.Set
+	burn    *burn.Ledger
 }
 
-// New returns a server that does not listen yet.
+// New returns a server that is not listening yet.
 func New(o *Options) (*Server, error) {
 	now := clock.New().Now
 	s := &Server{
@@ -91,7 +91,7 @@
 		now:     now,
 		loop:    loop.New(now),
 		metrics: metrics.New(prometheus.NewRegistry()),
-		set:     member.NewSet(),
+		members: member.NewSet(),
 		burn:    burn.NewLedger(),
 	}
 	o.Keys.Expiry = func(t time.Time) { s.metrics.CertExpiry.Set(float64(t.Unix())) }
@@ -116,26 +116,26 @@
 	return s, nil
 }
 
-// onConfig takes a configuration into force. It runs in the control loop.
+// onConfig applies a configuration. It runs in the control loop.
 func (s *Server) onConfig(_ time.Time, cfg *config.Config) {
 	if s.entry == nil {
 		options := entry.Options{Route: route.Options{Entry: s.o.ID, Zone: s.o.Zone}}
-		s.entry = entry.New(options, cfg, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))) //nolint:gosec // Choosing agents needs no secrecy.
-		s.entry.SetMembers(s.set)
+		s.entry = entry.New(options, cfg, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))) //nolint:gosec // Picking agents needs no secrecy.
+		s.entry.SetMembers(s.members)
 	}
 	s.entry.SetConfig(cfg)
 	s.snapshot.Store(cfg)
 }
 
-// onMembers takes a host list into force. It runs in the control loop.
-func (s *Server) onMembers(_ time.Time, set *member.Set) {
-	s.set = set
+// onMembers applies a list of hosts. It runs in the control loop.
+func (s *Server) onMembers(_ time.Time, members *member.Set) {
+	s.members = members
 	if s.entry != nil {
-		s.entry.SetMembers(set)
+		s.entry.SetMembers(members)
 	}
 }
 
-// Service returns the work of the process.
+// Service returns the functions that run and drain the process.
 func (s *Server) Service() program.Service {
 	return program.Service{
 		Run:        s.run,
@@ -149,22 +149,22 @@
 	if err := s.serveCallers(ctx, group); err != nil {
 		return err
 	}
-	if err := s.o.Serve(ctx, group, s.o.Log, s.rpcHandler(), ops.Handler(s.metrics.Registry, s.notReady)); err != nil {
+	if err := s.o.Serve(ctx, group, s.o.Log, s.rpcHandler(), ops.Handler(s.metrics.Registry, s.notReadyReason)); err != nil {
 		return err
 	}
 	group.Go(func() error { return s.loop.Run(ctx) })
 	group.Go(func() error { return s.sync.Run(ctx) })
-	group.Go(func() error { return s.loop.Every(ctx, tickEvery, s.tick) })
+	group.Go(func() error { return s.loop.Every(ctx, tickInterval, s.tick) })
 	return group.Wait()
 }
 
-// serveCallers listens for callers.
+// serveCallers starts the server for callers.
 func (s *Server) serveCallers(ctx context.Context, group *errgroup.Group) error {
 	l, err := program.Listen(s.o.Log, "listen", s.o.Listen)
 	if err != nil {
 		return err
 	}
-	s.callers = &http.Server{
+	s.callerServer = &http.Server{
 		Handler:           s.handler(),
 		ReadHeaderTimeout: callerHeaderTimeout,
 		MaxHeaderBytes:    maxCallerHeader,
@@ -173,15 +173,15 @@
 	group.Go(func() error {
 		var err error
 		if s.o.CallerCert != "" {
-			err = s.callers.ServeTLS(l, s.o.CallerCert, s.o.CallerKey)
+			err = s.callerServer.ServeTLS(l, s.o.CallerCert, s.o.CallerKey)
 		} else {
-			err = s.callers.Serve(l)
+			err = s.callerServer.Serve(l)
 		}
 		return rpc.IgnoreClosed(err)
 	})
 	group.Go(func() error {
 		<-ctx.Done()
-		_ = s.callers.Close()
+		_ = s.callerServer.Close()
 		return nil
 	})
 	return nil
@@ -191,12 +191,12 @@
 	mux := http.NewServeMux()
 	path, h := gladegaugev1connect.NewPeerServiceHandler(s.sync, rpc.SmallMessages)
 	mux.Handle(path, s.o.Keys.Only(h, rpc.RoleEntry, rpc.RoleAgent))
-	path, h = gladegaugev1connect.NewOperatorServiceHandler(&operator{s: s})
+	path, h = gladegaugev1connect.NewOperatorServiceHandler(&operatorService{s: s})
 	mux.Handle(path, s.o.Keys.Only(h, rpc.RoleOperator))
 	return mux
 }
 
-func (s *Server) notReady() string {
+func (s *Server) notReadyReason() string {
 	switch {
 	case s.leaving.Load():
 		return "leaving"
@@ -212,8 +212,8 @@
 	s.ready.Store(s.sync.Ready())
 }
 
-// drain lets the balancer see that the entry leaves, then stops listening and
-// waits for what is in progress.
+// drain waits for load balancers to notice that the entry is not ready, then stops
+// listening and waits for requests in progress.
 func (s *Server) drain(ctx context.Context) error {
 	s.leaving.Store(true)
 	s.metrics.Leaving.Set(1)
@@ -224,5 +224,5 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	return s.callers.Shutdown(ctx)
+	return s.callerServer.Shutdown(ctx)
 }
--- a/internal/edge/entryd/service.go
+++ b/internal/edge/entryd/service.go
@@ -17,8 +17,8 @@
 	"github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1/gladegaugev1connect"
 )
 
-// service carries a request to a plain service. The path after the service's
-// name is the service's own.
+// service handles a request to a plain service. The path after the name of the service is
+// forwarded.
 func (s *Server) service(c echo.Context) error {
 	cfg, p := s.config()
 	if p != nil {
@@ -35,7 +35,7 @@
 			message: "There is no plain service of this name.",
 		}).write(c)
 	}
-	class, p := classOf(cfg, o, pool, c.Request())
+	class, p := resolveClass(cfg, o, pool, c.Request())
 	if p != nil {
 		return p.write(c)
 	}
@@ -43,15 +43,15 @@
 	if p != nil {
 		return p.write(c)
 	}
-	return s.carry(c, carried{
+	return s.forward(c, forwardedRequest{
 		call: entry.Call{Organisation: o, Class: class, Pool: pool},
 		path: servicePath(c.Request(), pool.Name),
 		body: body,
-		out:  &relay{c: c, patience: s.o.ReadPatience},
+		out:  &relay{c: c, writeTimeout: s.o.ReadPatience},
 	})
 }
 
-// servicePath returns the service's own path and query.
+// servicePath returns the path and query within the service.
 func servicePath(r *http.Request, service string) string {
 	path := strings.TrimPrefix(r.URL.EscapedPath(), "/services/"+service)
 	if path == "" {
@@ -63,25 +63,25 @@
 	return path
 }
 
-// keyTimeout bounds the call for an idempotency key.
+// keyTimeout limits the call for an idempotency key.
 const keyTimeout = 2 * time.Second
 
-// keyAnswer is the answer to a request for an idempotency key.
-type keyAnswer struct {
+// keyResponse is the response to a request for an idempotency key.
+type keyResponse struct {
 	Key         string `json:"key"`
 	ExpiresInMs uint32 `json:"expires_in_ms"`
 }
 
-// askForKey gets an idempotency key from an agent of the pool.
-func (s *Server) askForKey(c echo.Context, call entry.Call) error {
-	var picks []member.Host
+// issueKeyAtAgent requests an idempotency key from an agent of the pool.
+func (s *Server) issueKeyAtAgent(c echo.Context, call entry.Call) error {
+	var agents []member.Host
 	s.loop.Must(func(now time.Time) {
-		picks = s.entry.Table().Pick(now, route.Request{Pool: call.Pool.Name, Tier: call.Class.Tier}, 2)
-		for _, h := range picks {
+		agents = s.entry.Table().Pick(now, route.Request{Pool: call.Pool.Name, Tier: call.Class.Tier}, 2)
+		for _, h := range agents {
 			s.entry.Settled(h.ID)
 		}
 	})
-	for _, h := range picks {
+	for _, h := range agents {
 		ctx, cancel := context.WithTimeout(c.Request().Context(), keyTimeout)
 		client := gladegaugev1connect.NewAgentServiceClient(s.rpcHTTP, s.o.Keys.URL(h.Address))
 		resp, err := client.IssueKey(ctx, connect.NewRequest(&gladegaugev1.IssueKeyRequest{
@@ -90,7 +90,7 @@
 		}))
 		cancel()
 		if err == nil {
-			return c.JSON(http.StatusOK, keyAnswer{Key: resp.Msg.GetKey(), ExpiresInMs: resp.Msg.GetTtlMs()})
+			return c.JSON(http.StatusOK, keyResponse{Key: resp.Msg.GetKey(), ExpiresInMs: resp.Msg.GetTtlMs()})
 		}
 	}
 	return (&problem{
--- a/internal/edge/entryd/suspects.go
+++ b/internal/edge/entryd/suspects.go
@@ -10,8 +10,9 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// printed returns the print of the request, by which it is known when it comes again.
-func (x *call) printed() suspect.Print {
+// fingerprint returns the fingerprint by which the request is recognised when it is
+// repeated.
+func (x *call) fingerprint() suspect.Print {
 	if x.print == (suspect.Print{}) {
 		x.print = suspect.PrintOf(suspect.Content{
 			Organisation: x.call.Organisation.Name,
@@ -25,16 +26,16 @@
 	return x.print
 }
 
-// enter holds the request against those under which upstreams ended; nil if it may
-// run. It runs in the control loop.
-func (x *call) enter(now time.Time) *problem {
+// checkSuspect checks the request against those that may crash upstreams. It returns nil
+// if the request may run. It runs in the control loop.
+func (x *call) checkSuspect(now time.Time) *problem {
 	if !x.s.sync.Suspects().Any() {
 		return nil
 	}
-	x.verdict = x.s.sync.Suspects().Admit(now, x.printed())
+	x.verdict = x.s.sync.Suspects().Admit(now, x.fingerprint())
 	switch x.verdict {
 	case suspect.Blocked:
-		return endsUpstreams(false)
+		return crashProblem(false)
 	case suspect.Occupied:
 		return &problem{
 			status: http.StatusServiceUnavailable, code: CodeOverloaded, notRun: true, retryAfter: time.Second,
@@ -45,43 +46,44 @@
 	}
 }
 
-// endsUpstreams is the error of a request that is not tried again. Ran is true if the
-// last upstream ended under this very call.
-func endsUpstreams(ran bool) *problem {
+// crashProblem is the error of a blocked request. ran is true if the last upstream
+// crashed during this call.
+func crashProblem(ran bool) *problem {
 	return &problem{
-		status: http.StatusBadRequest, code: CodeEndsUpstreams, notRun: !ran,
+		status: http.StatusBadRequest, code: CodeCrashesUpstreams, notRun: !ran,
 		message: "Several upstreams ended, one after the other, while they ran this request. It is not tried again.",
 	}
 }
 
-// underEnd notes that the agent's upstream ended under the request. It runs in the
-// control loop.
-func (x *call) underEnd(now time.Time, a *attempt, f *gladegaugev1.Failed) {
-	if f.GetEndedStart() == 0 || (!x.first.IsZero() && now.Sub(x.first) >= suspects.SoundFor) {
+// recordCrash records that the agent's upstream crashed while running the request. It
+// runs in the control loop.
+func (x *call) recordCrash(now time.Time, a *attempt, f *gladegaugev1.Failed) {
+	if f.GetEndedStart() == 0 || (!x.firstByte.IsZero() && now.Sub(x.firstByte) >= suspects.SoundFor) {
 		return
 	}
 	x.s.sync.EndedUnder(suspects.Lost{
-		Print: x.printed(), Request: x.id, Organisation: x.call.Organisation.Name,
+		Print: x.fingerprint(), Request: x.id, Organisation: x.call.Organisation.Name,
 		Start: f.GetEndedStart(), Upstream: a.agent, At: now, Ran: now.Sub(x.claimedAt),
 	})
-	v := x.s.sync.Suspects().Check(now, x.printed())
+	v := x.s.sync.Suspects().Check(now, x.fingerprint())
 	if v != suspect.Free {
-		x.ticket.DisableResumes()
+		x.admitted.DisableResumes()
 	}
-	x.harmful = v == suspect.Blocked
+	x.blockedDuringRun = v == suspect.Blocked
 }
 
-// leave notes what the request showed. It runs in the control loop.
-func (x *call) leave(now time.Time) {
+// updateSuspects releases a quarantined request, and clears a request that succeeded. It
+// runs in the control loop.
+func (x *call) updateSuspects(now time.Time) {
 	if x.verdict == suspect.Quarantined {
-		x.s.sync.Suspects().Release(x.printed())
+		x.s.sync.Suspects().Release(x.fingerprint())
 	}
-	if x.answered() {
-		x.s.sync.Suspects().Clear(now, x.printed(), x.id)
+	if x.succeeded() {
+		x.s.sync.Suspects().Clear(now, x.fingerprint(), x.id)
 	}
 }
 
-// answered reports whether the request was answered with success.
-func (x *call) answered() bool {
+// succeeded reports whether the request completed with a success status.
+func (x *call) succeeded() bool {
 	return x.outcome.Result == dispatch.Completed && x.status < http.StatusMultipleChoices
 }
