--- a/internal/edge/agentd/answer.go
+++ b/internal/edge/agentd/answer.go
@@ -11,80 +11,80 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// onPiece passes on a part of the answer, or ends the attempt.
-func (x *session) onPiece(ctx context.Context, p piece) (bool, error) {
+// onChunk forwards a chunk of the response, or ends the attempt.
+func (x *session) onChunk(ctx context.Context, p chunk) (bool, error) {
 	if p.end != nil {
 		return x.onEnd(ctx, *p.end)
 	}
 	if p.Head != nil {
 		return false, x.onHead(p.Head)
 	}
-	if x.failing {
+	if x.retryElsewhere {
 		return false, nil
 	}
 	x.tokens.Add(int64(p.Tokens))
 	x.s.metrics.Tokens.WithLabelValues(x.offer.GetClass()).Add(float64(p.Tokens))
-	chunk := &gladegaugev1.Chunk{Offset: uint64(p.Offset), Data: p.Data, Tokens: uint32(p.Tokens), Next: uint64(p.Next)}
-	err := x.send(&gladegaugev1.AttemptEvent{Event: &gladegaugev1.AttemptEvent_Chunk{Chunk: chunk}})
+	msg := &gladegaugev1.Chunk{Offset: uint64(p.Offset), Data: p.Data, Tokens: uint32(p.Tokens), Next: uint64(p.Next)}
+	err := x.send(&gladegaugev1.AttemptEvent{Event: &gladegaugev1.AttemptEvent_Chunk{Chunk: msg}})
 	x.offset = p.Next
-	x.quiet = false
+	x.idle = false
 	return false, err
 }
 
 func (x *session) onHead(h *upstream.Head) error {
-	if rest := h.Rest(); rest > 0 {
-		x.s.rest(rest)
+	if backoff := h.Rest(); backoff > 0 {
+		x.s.backoff(backoff)
 	}
 	if h.Status >= http.StatusInternalServerError && x.retryable {
-		x.failing = true
+		x.retryElsewhere = true
 		x.cancelRun()
 		return nil
 	}
-	x.s.loop.Must(func(time.Time) { x.s.ends.alive() })
+	x.s.loop.Must(func(time.Time) { x.s.crashes.recordResponse() })
 	head := &gladegaugev1.Head{Status: uint32(h.Status)}
 	for name, values := range h.Headers {
 		for _, v := range values {
 			head.Headers = append(head.Headers, &gladegaugev1.Header{Name: name, Value: v})
 		}
 	}
-	x.fixed = !convert.Events(head)
+	x.notEventStream = !convert.Events(head)
 	return x.send(&gladegaugev1.AttemptEvent{Event: &gladegaugev1.AttemptEvent_Head{Head: head}})
 }
 
-// onEnd takes the end of a call to the upstream.
+// onEnd handles the end of a call to the upstream.
 func (x *session) onEnd(ctx context.Context, end upstream.End) (bool, error) {
 	x.running = false
 	x.cancelRun()
-	if x.failing {
-		end = upstream.End{Ending: upstream.Broken, Err: errFailing}
+	if x.retryElsewhere {
+		end = upstream.End{Ending: upstream.Broken, Err: errServerStatus}
 	}
 	produced := max(1, int(x.tokens.Load()))
 	var load *gladegaugev1.Load
-	// A part of a body that is not made of events cannot be continued.
-	inPart := x.fixed && x.offset > 0
-	stopped := x.stopping && end.Ending != upstream.Complete && !inPart
+	// A body that is not an event stream cannot be resumed once part of it was sent.
+	partialBody := x.notEventStream && x.offset > 0
+	stopped := x.stopping && end.Ending != upstream.Complete && !partialBody
 	x.s.loop.Must(func(now time.Time) {
 		if stopped {
-			x.s.apply(x.s.agent.Stopped(now, x.id, produced))
+			x.s.deliver(x.s.agent.Stopped(now, x.id, produced))
 		} else {
-			x.s.apply(x.s.agent.Ended(now, x.id, coreEnd(end.Ending), produced))
+			x.s.deliver(x.s.agent.Ended(now, x.id, coreEnd(end.Ending), produced))
 		}
 		load = x.s.load()
 	})
-	if stopped && !x.gone {
+	if stopped && !x.entryGone {
 		return false, nil
 	}
 	if end.Ending != upstream.Complete {
 		x.s.metrics.Wasted.WithLabelValues(x.offer.GetClass()).Add(float64(x.tokens.Load()))
 		return true, x.fail(&gladegaugev1.Failed{
-			NotRun: end.Ending == upstream.NotTaken, Detail: text(end.Err), Load: load, EndedStart: x.endedStart(ctx, end),
+			NotRun: end.Ending == upstream.NotTaken, Detail: errorText(end.Err), Load: load, EndedStart: x.crashedInstance(ctx, end),
 		})
 	}
 	ended := &gladegaugev1.End{Length: uint64(end.Length), Tokens: uint32(produced), Load: load}
 	return true, x.send(&gladegaugev1.AttemptEvent{Event: &gladegaugev1.AttemptEvent_End{End: ended}})
 }
 
-func text(err error) string {
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
@@ -102,10 +102,11 @@
 	return agent.Interrupted
 }
 
-// heartbeat tells the entry that a run without pieces is alive.
+// heartbeat sends an empty chunk if none was sent since the last call, so that the entry
+// knows that the run is alive.
 func (x *session) heartbeat() error {
-	if x.run == nil || !x.quiet {
-		x.quiet = true
+	if x.run == nil || !x.idle {
+		x.idle = true
 		return nil
 	}
 	return x.send(&gladegaugev1.AttemptEvent{Event: &gladegaugev1.AttemptEvent_Chunk{
@@ -124,7 +125,7 @@
 }
 
 func (x *session) send(e *gladegaugev1.AttemptEvent) error {
-	if x.gone {
+	if x.entryGone {
 		return nil
 	}
 	return x.stream.Send(e)
--- a/internal/edge/agentd/end.go
+++ b/internal/edge/agentd/end.go
@@ -11,29 +11,31 @@
 	"github.com/gladegauge/gladegauge/internal/edge/upstream"
 )
 
-// upstreamEnds counts the ends of the agent's upstream. It belongs to the control loop.
-type upstreamEnds struct {
+// crashCounter counts the crashes of the agent's upstream. It belongs to the control
+// loop.
+type crashCounter struct {
 	n uint64
-	// ended is true from an end until the upstream is heard of again.
-	ended bool
+	// crashed is true from a crash until the next response of the upstream.
+	crashed bool
 }
 
-// found notes that nothing listens there. All that broke off with one end finds the
-// same.
-func (u *upstreamEnds) found() {
-	if !u.ended {
-		u.ended = true
+// recordCrash records that nothing listens at the upstream's address. Each run that a
+// crash interrupted reports it, so repeated reports count as one crash.
+func (u *crashCounter) recordCrash() {
+	if !u.crashed {
+		u.crashed = true
 		u.n++
 	}
 }
 
-// alive notes that the upstream has said something.
-func (u *upstreamEnds) alive() { u.ended = false }
+// recordResponse records that the upstream has responded.
+func (u *crashCounter) recordResponse() { u.crashed = false }
 
-// endedStart returns the hash of the upstream's start if it ended under the run; 0 if
-// it lives on, or if the agent itself broke the run off.
-func (x *session) endedStart(ctx context.Context, end upstream.End) uint64 {
-	if end.Ending != upstream.Broken || x.stopping || x.failing || x.gone {
+// crashedInstance returns the hash that identifies the upstream instance if it crashed
+// during the run. It returns 0 if the upstream still listens, or if the agent itself
+// stopped the run.
+func (x *session) crashedInstance(ctx context.Context, end upstream.End) uint64 {
+	if end.Ending != upstream.Broken || x.stopping || x.retryElsewhere || x.entryGone {
 		return 0
 	}
 	ctx, cancel := context.WithTimeout(ctx, suspects.ProbeTimeout)
@@ -41,10 +43,10 @@
 	if !x.s.upstream.Refuses(ctx) {
 		return 0
 	}
-	var start uint64
+	var instance uint64
 	x.s.loop.Must(func(time.Time) {
-		x.s.ends.found()
-		start = rendezvous.Mix(xxhash.Sum64String(x.s.incarnation), x.s.ends.n)
+		x.s.crashes.recordCrash()
+		instance = rendezvous.Mix(xxhash.Sum64String(x.s.incarnation), x.s.crashes.n)
 	})
-	return start
+	return instance
 }
--- a/internal/edge/agentd/operator.go
+++ b/internal/edge/agentd/operator.go
@@ -14,7 +14,7 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// IssueKey gives an idempotency key that only this incarnation honours.
+// IssueKey issues an idempotency key that is valid only at this incarnation.
 func (s *Server) IssueKey(ctx context.Context, req *connect.Request[gladegaugev1.IssueKeyRequest]) (*connect.Response[gladegaugev1.IssueKeyResponse], error) {
 	resp := &gladegaugev1.IssueKeyResponse{}
 	err := s.loop.Do(ctx, func(now time.Time) {
@@ -31,16 +31,16 @@
 	return connect.NewResponse(resp), nil
 }
 
-// operator answers operators.
-type operator struct{ s *Server }
+// operatorService implements the OperatorService.
+type operatorService struct{ s *Server }
 
-// Status tells what the agent does now.
-func (o *operator) Status(ctx context.Context, _ *connect.Request[gladegaugev1.StatusRequest]) (*connect.Response[gladegaugev1.StatusResponse], error) {
+// Status returns the state of the agent and the queue lengths by class.
+func (o *operatorService) Status(ctx context.Context, _ *connect.Request[gladegaugev1.StatusRequest]) (*connect.Response[gladegaugev1.StatusResponse], error) {
 	resp := &gladegaugev1.StatusResponse{
 		Id:    o.s.o.ID,
 		Role:  gladegaugev1.Role_ROLE_AGENT,
 		Zone:  o.s.o.Zone,
-		Ready: o.s.notReady() == "",
+		Ready: o.s.notReadyReason() == "",
 		Build: program.Version(),
 	}
 	err := o.s.loop.Do(ctx, func(time.Time) {
@@ -66,37 +66,37 @@
 	return connect.NewResponse(resp), nil
 }
 
-// Drain stops new work; the process stays until it is told to stop.
-func (o *operator) Drain(ctx context.Context, _ *connect.Request[gladegaugev1.DrainRequest]) (*connect.Response[gladegaugev1.DrainResponse], error) {
+// Drain stops the admission of new work. The process runs until it is told to stop.
+func (o *operatorService) Drain(ctx context.Context, _ *connect.Request[gladegaugev1.DrainRequest]) (*connect.Response[gladegaugev1.DrainResponse], error) {
 	o.s.leaving.Store(true)
 	resp := &gladegaugev1.DrainResponse{}
 	err := o.s.loop.Do(ctx, func(now time.Time) {
 		if o.s.agent != nil {
-			o.s.apply(o.s.agent.Drain(now))
+			o.s.deliver(o.s.agent.Drain(now))
 		}
 		resp.InProgress = uint32(len(o.s.sessions))
 	})
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
-	o.s.o.Log.Info().Msg("drained by an operator: no new work")
+	o.s.o.Log.Info().Msg("drain requested by an operator; no new work is accepted")
 	return connect.NewResponse(resp), nil
 }
 
-// errEntryOnly says that only entries answer a call.
+// errEntryOnly is the error of calls that only entries implement.
 var errEntryOnly = errors.New("ask an entry")
 
-// Check is answered by entries.
-func (o *operator) Check(context.Context, *connect.Request[gladegaugev1.CheckRequest]) (*connect.Response[gladegaugev1.CheckResponse], error) {
+// Check is implemented by entries only.
+func (o *operatorService) Check(context.Context, *connect.Request[gladegaugev1.CheckRequest]) (*connect.Response[gladegaugev1.CheckResponse], error) {
 	return nil, connect.NewError(connect.CodeUnimplemented, errEntryOnly)
 }
 
-// Explain is answered by entries.
-func (o *operator) Explain(context.Context, *connect.Request[gladegaugev1.ExplainRequest]) (*connect.Response[gladegaugev1.ExplainResponse], error) {
+// Explain is implemented by entries only.
+func (o *operatorService) Explain(context.Context, *connect.Request[gladegaugev1.ExplainRequest]) (*connect.Response[gladegaugev1.ExplainResponse], error) {
 	return nil, connect.NewError(connect.CodeUnimplemented, errEntryOnly)
 }
 
-// Burn is answered by entries.
-func (o *operator) Burn(context.Context, *connect.Request[gladegaugev1.BurnRequest]) (*connect.Response[gladegaugev1.BurnResponse], error) {
+// Burn is implemented by entries only.
+func (o *operatorService) Burn(context.Context, *connect.Request[gladegaugev1.BurnRequest]) (*connect.Response[gladegaugev1.BurnResponse], error) {
 	return nil, connect.NewError(connect.CodeUnimplemented, errEntryOnly)
 }
--- a/internal/edge/agentd/orders.go
+++ b/internal/edge/agentd/orders.go
@@ -12,39 +12,39 @@
 	"github.com/gladegauge/gladegauge/internal/edge/upstream"
 )
 
-// Times of the comparison of what is loaded with what should be.
+// Interval of the reconciliation, and the timeout of one pass.
 const (
-	compareEvery = 2 * time.Second
-	orderTimeout = time.Minute
+	reconcileInterval = 2 * time.Second
+	orderTimeout      = time.Minute
 )
 
-// plan is what the upstream should have loaded, under which revision, and when
-// this agent's turn to order comes.
+// plan is the desired state of the upstream, the fencing token of orders, and whether the
+// start delay of this agent has not passed yet.
 type plan struct {
-	wanted placement.State
-	fence  string
-	notYet bool
+	desired placement.State
+	fence   string
+	delayed bool
 }
 
-// orderLoop keeps what the upstream has loaded as the configuration says.
-// Plain services load nothing.
-func (s *Server) orderLoop(ctx context.Context) error {
-	for loop.Pause(ctx, compareEvery) {
+// reconcileLoop reconciles what the upstream has loaded with the configuration. Plain
+// services load nothing.
+func (s *Server) reconcileLoop(ctx context.Context) error {
+	for loop.Pause(ctx, reconcileInterval) {
 		p, ok := s.plan()
-		if !ok || p.notYet {
+		if !ok || p.delayed {
 			continue
 		}
-		if err := s.compare(ctx, p); err != nil {
+		if err := s.reconcile(ctx, p); err != nil {
 			s.metrics.Orders.WithLabelValues("failed").Inc()
 			if errors.Is(err, upstream.ErrFenced) {
-				s.o.Log.Error().Err(err).Msg("the upstream takes orders from a later agent or revision")
+				s.o.Log.Error().Err(err).Msg("upstream rejected an order")
 			}
 		}
 	}
 	return nil
 }
 
-// plan returns what should be loaded now.
+// plan returns the current plan, or false if there is nothing to reconcile.
 func (s *Server) plan() (plan, bool) {
 	var p plan
 	ok := false
@@ -58,30 +58,30 @@
 			return
 		}
 		ok = true
-		turn := placement.StartDelay(s.sync.Members(), s.o.Pool, s.o.ID)
+		delay := placement.StartDelay(s.sync.Members(), s.o.Pool, s.o.ID)
 		p = plan{
-			wanted: placement.Desired(pool),
-			fence:  placement.Fence(cfg.Revision(), s.booted),
-			notYet: now.Sub(s.configuredAt) < turn,
+			desired: placement.Desired(pool),
+			fence:   placement.Fence(cfg.Revision(), s.startedAt),
+			delayed: now.Sub(s.configuredAt) < delay,
 		}
 	})
 	return p, ok
 }
 
-// compare orders what differs, one order at a time.
-func (s *Server) compare(ctx context.Context, p plan) error {
+// reconcile issues orders for the differences, one at a time.
+func (s *Server) reconcile(ctx context.Context, p plan) error {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	actual, err := s.upstream.State(ctx)
 	if err != nil {
 		return err
 	}
-	for _, o := range placement.Orders(p.wanted, actual) {
+	for _, o := range placement.Orders(p.desired, actual) {
 		if err := s.upstream.Order(ctx, o, p.fence); err != nil {
 			return err
 		}
 		s.metrics.Orders.WithLabelValues("done").Inc()
-		s.o.Log.Info().Str("order", string(o.Kind)).Str("name", o.Name).Msg("upstream ordered")
+		s.o.Log.Info().Str("order", string(o.Kind)).Str("name", o.Name).Msg("order executed by the upstream")
 	}
 	return nil
 }
--- a/internal/edge/agentd/server.go
+++ b/internal/edge/agentd/server.go
@@ -1,5 +1,5 @@
-// Package agentd is the agent's process: it joins the core agent to the
-// entries' streams, the upstream and the operators.
+// Package agentd implements the agent process: it connects the agent of the core to the
+// streams of entries, the upstream and operators.
 //
 // # Usage
 //
@@ -34,14 +34,14 @@
 	"github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1/gladegaugev1connect"
 )
 
-// Times of the process.
+// Intervals and limits of the process.
 const (
-	tickEvery  = 100 * time.Millisecond
-	probeEvery = 500 * time.Millisecond
-	probeLimit = 2 * time.Second
-	// probeFailures is the number of failed probes in a row that put the
-	// upstream down.
-	probeFailures = 2
+	tickInterval  = 100 * time.Millisecond
+	probeInterval = 500 * time.Millisecond
+	probeTimeout  = 2 * time.Second
+	// probeFailureThreshold is the number of consecutive failed probes after which the
+	// upstream is considered down.
+	probeFailureThreshold = 2
 )
 
 // Options are the settings of an agent process.
@@ -52,7 +52,7 @@
 	Log         zerolog.Logger
 }
 
-// Server is one agent process.
+// Server is an agent process.
 type Server struct {
 	o        *Options
 	loop     *loop.Loop
@@ -62,27 +62,27 @@
 	rpcHTTP  *http.Client
 	leaving  atomic.Bool
 	ready    atomic.Bool
-	// receivers are the goroutines that read the entries' streams.
+	// receivers are the goroutines that receive from the streams of entries.
 	receivers errgroup.Group
-	booted    time.Time
+	startedAt time.Time
 	// The fields below belong to the control loop.
 	incarnation string
-	// configuredAt is when the configuration in force was taken.
+	// configuredAt is the time at which the current configuration was applied.
 	configuredAt time.Time
 	agent        *agent.Agent
-	ends         upstreamEnds
+	crashes      crashCounter
 	sessions     map[string]*session
 }
 
-// New returns a server that does not listen yet.
+// New returns a server that is not listening yet.
 func New(o *Options) (*Server, error) {
 	now := clock.New().Now
 	s := &Server{
 		o:           o,
 		loop:        loop.New(now),
 		metrics:     metrics.New(prometheus.NewRegistry()),
-		incarnation: randomName()[:incarnationLength],
-		booted:      now(),
+		incarnation: randomHex()[:incarnationLength],
+		startedAt:   now(),
 		sessions:    make(map[string]*session),
 	}
 	s.o.Keys.Expiry = func(t time.Time) { s.metrics.CertExpiry.Set(float64(t.Unix())) }
@@ -111,51 +111,51 @@
 	return s, nil
 }
 
-// incarnationLength is enough to tell the lives of one agent apart.
+// incarnationLength is long enough to distinguish the incarnations of one agent.
 const incarnationLength = 16
 
-// randomName returns 16 random bytes as text.
-func randomName() string {
+// randomHex returns 16 random bytes in hexadecimal.
+func randomHex() string {
 	b := make([]byte, 16)
 	_, _ = rand.Read(b)
 	return hex.EncodeToString(b)
 }
 
-// onConfig takes a configuration into force. It runs in the control loop.
+// onConfig applies a configuration. It runs in the control loop.
 func (s *Server) onConfig(now time.Time, cfg *config.Config) {
 	s.configuredAt = now
 	slots := 1
 	if p, ok := cfg.Pool(s.o.Pool); ok {
 		slots = p.Slots
 	} else {
-		s.o.Log.Error().Str("pool", s.o.Pool).Msg("the configuration has no such pool; one slot is used")
+		s.o.Log.Error().Str("pool", s.o.Pool).Msg("pool is not in the configuration; using one slot")
 	}
 	if s.agent == nil {
 		s.agent = agent.New(agent.Options{
 			Incarnation: s.incarnation,
 			Slots:       slots,
-			NewKey:      randomName,
+			NewKey:      randomHex,
 		}, cfg)
 		return
 	}
-	s.apply(s.agent.Configure(now, cfg, slots))
+	s.deliver(s.agent.Configure(now, cfg, slots))
 }
 
-// Service returns the work of the process.
+// Service returns the functions that run and drain the process.
 func (s *Server) Service() program.Service {
 	return program.Service{Run: s.run, Drain: s.drain, InProgress: s.inProgress}
 }
 
 func (s *Server) run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	if err := s.o.Serve(ctx, group, s.o.Log, s.handler(), ops.Handler(s.metrics.Registry, s.notReady)); err != nil {
+	if err := s.o.Serve(ctx, group, s.o.Log, s.handler(), ops.Handler(s.metrics.Registry, s.notReadyReason)); err != nil {
 		return err
 	}
 	group.Go(func() error { return s.loop.Run(ctx) })
 	group.Go(func() error { return s.sync.Run(ctx) })
-	group.Go(func() error { return s.loop.Every(ctx, tickEvery, s.tick) })
+	group.Go(func() error { return s.loop.Every(ctx, tickInterval, s.tick) })
 	group.Go(func() error { return s.probe(ctx) })
-	group.Go(func() error { return s.orderLoop(ctx) })
+	group.Go(func() error { return s.reconcileLoop(ctx) })
 	return group.Wait()
 }
 
@@ -166,12 +166,12 @@
 	mux.Handle(path, s.o.Keys.Only(h, rpc.RoleEntry))
 	path, h = gladegaugev1connect.NewPeerServiceHandler(s.sync, rpc.SmallMessages)
 	mux.Handle(path, s.o.Keys.Only(h, rpc.RoleEntry, rpc.RoleAgent))
-	path, h = gladegaugev1connect.NewOperatorServiceHandler(&operator{s: s})
+	path, h = gladegaugev1connect.NewOperatorServiceHandler(&operatorService{s: s})
 	mux.Handle(path, s.o.Keys.Only(h, rpc.RoleOperator))
 	return mux
 }
 
-func (s *Server) notReady() string {
+func (s *Server) notReadyReason() string {
 	switch {
 	case s.leaving.Load():
 		return "leaving"
@@ -182,7 +182,7 @@
 	}
 }
 
-// tick lets time pass in the control state.
+// tick updates the time-dependent control state and the gauges.
 func (s *Server) tick(now time.Time) {
 	s.sync.Tick(now)
 	s.ready.Store(s.sync.Ready())
@@ -192,7 +192,7 @@
 	for id, sess := range s.sessions {
 		s.agent.Progress(now, id, int(sess.tokens.Load()))
 	}
-	s.apply(s.agent.Tick(now))
+	s.deliver(s.agent.Tick(now))
 	queued, running := s.agent.Counts(s.classes())
 	for class, n := range queued {
 		s.metrics.Queued.WithLabelValues(class).Set(float64(n))
@@ -200,8 +200,7 @@
 	}
 }
 
-// classes returns the classes that the pool serves. It runs in the control
-// loop.
+// classes returns the classes that the pool serves. It runs in the control loop.
 func (s *Server) classes() []string {
 	p, ok := s.sync.Config().Pool(s.o.Pool)
 	if !ok {
@@ -210,8 +209,8 @@
 	return p.Classes
 }
 
-// apply hands each effect to its session. It runs in the control loop.
-func (s *Server) apply(effects []agent.Effect) {
+// deliver sends each effect to its session. It runs in the control loop.
+func (s *Server) deliver(effects []agent.Effect) {
 	for _, effect := range effects {
 		var id string
 		switch e := effect.(type) {
@@ -230,18 +229,18 @@
 			id = e.ID
 		}
 		if sess, ok := s.sessions[id]; ok {
-			sess.signals <- effect
+			sess.effectQueue <- effect
 		}
 	}
 }
 
-// drain stops new work and waits for what is in progress.
+// drain stops the admission of new work and waits for work in progress.
 func (s *Server) drain(ctx context.Context) error {
 	s.leaving.Store(true)
 	s.metrics.Leaving.Set(1)
 	s.loop.Must(func(now time.Time) {
 		if s.agent != nil {
-			s.apply(s.agent.Drain(now))
+			s.deliver(s.agent.Drain(now))
 		}
 	})
 	return program.WaitUntil(ctx, func() bool { return s.inProgress() == 0 })
@@ -253,20 +252,20 @@
 	return n
 }
 
-// probe puts the upstream down while it does not answer.
+// probe marks the upstream as down while it fails health probes.
 func (s *Server) probe(ctx context.Context) error {
 	failures := 0
 	down := false
-	for loop.Pause(ctx, probeEvery) {
-		probeCtx, cancel := context.WithTimeout(ctx, probeLimit)
+	for loop.Pause(ctx, probeInterval) {
+		probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 		healthy := s.upstream.Healthy(probeCtx)
 		cancel()
 		failures++
 		if healthy {
 			failures = 0
-			s.loop.Must(func(time.Time) { s.ends.alive() })
+			s.loop.Must(func(time.Time) { s.crashes.recordResponse() })
 		}
-		if next := failures >= probeFailures; next != down && (next || healthy) {
+		if next := failures >= probeFailureThreshold; next != down && (next || healthy) {
 			down = next
 			s.setDown(down)
 		}
@@ -274,14 +273,14 @@
 	return nil
 }
 
-// rest leaves the upstream alone for the time that it asks for.
-func (s *Server) rest(d time.Duration) {
-	s.o.Log.Warn().Dur("rest", d).Msg("upstream asks for rest")
-	s.loop.Must(func(now time.Time) { s.apply(s.agent.Rest(now, d)) })
+// backoff starts a backoff of the duration that the upstream requested.
+func (s *Server) backoff(d time.Duration) {
+	s.o.Log.Warn().Dur("rest", d).Msg("upstream requested a backoff")
+	s.loop.Must(func(now time.Time) { s.deliver(s.agent.Rest(now, d)) })
 }
 
 func (s *Server) setDown(down bool) {
-	s.o.Log.Warn().Bool("down", down).Msg("upstream changed")
+	s.o.Log.Warn().Bool("down", down).Msg("upstream availability changed")
 	value := 0.0
 	if down {
 		value = 1
@@ -289,7 +288,7 @@
 	s.metrics.UpstreamDown.Set(value)
 	s.loop.Must(func(now time.Time) {
 		if s.agent != nil {
-			s.apply(s.agent.SetDown(now, down))
+			s.deliver(s.agent.SetDown(now, down))
 		}
 	})
 }
--- a/internal/edge/agentd/session.go
+++ b/internal/edge/agentd/session.go
@@ -18,28 +18,28 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// signalBacklog is more than the effects that one attempt can have.
-const signalBacklog = 32
+// effectQueueSize is larger than the number of effects that one attempt can have.
+const effectQueueSize = 32
 
-// heartbeatEvery is the time between signs of life of a run without pieces.
-const heartbeatEvery = time.Second
+// heartbeatInterval is the time between heartbeats of a run that produces no chunks.
+const heartbeatInterval = time.Second
 
 var errNoOffer = errors.New("offer.attempt: must be set in the first command")
 
-var errFailing = errors.New("the engine answered with an error of its own")
+var errServerStatus = errors.New("engine returned a server error")
 
-// stream is the entry's end of one attempt.
+// stream is the stream on which an entry runs one attempt.
 type stream = connect.BidiStream[gladegaugev1.AttemptCommand, gladegaugev1.AttemptEvent]
 
-// session is one attempt on its stream. Its goroutine alone sends to the
-// entry; effects reach it from the control loop.
+// session is one attempt on its stream. Only its own goroutine sends to the entry; it
+// receives effects from the control loop.
 type session struct {
-	s       *Server
-	id      string
-	offer   *gladegaugev1.Offer
-	stream  *stream
-	signals chan agent.Effect
-	pieces  chan piece
+	s           *Server
+	id          string
+	offer       *gladegaugev1.Offer
+	stream      *stream
+	effectQueue chan agent.Effect
+	chunks      chan chunk
 	// tokens is read by the control loop.
 	tokens atomic.Int64
 
@@ -48,29 +48,29 @@
 	cancelRun context.CancelFunc
 	running   bool
 	stopping  bool
-	gone      bool
+	entryGone bool
 	offset    int
-	quiet     bool
-	// failing is true after an engine answered with an error of its own to a
-	// request that may be repeated; another engine may do better.
-	failing bool
-	// fixed is true for an answer that is not made of events.
-	fixed bool
+	idle      bool
+	// retryElsewhere is true after an engine responded with a 5xx status to a repeatable
+	// request. The response is discarded, since another engine may succeed.
+	retryElsewhere bool
+	// notEventStream is true for a response that is not an event stream.
+	notEventStream bool
 	// retryable is true for a repeatable class of a model pool.
 	retryable bool
-	// load is what a grant tells; nil after an Accepted.
+	// load is the load to report with a grant, or nil if an Accepted message reported it.
 	load *gladegaugev1.Load
-	// tier is that of the attempt's class; 0 if it is unknown.
+	// tier is the tier of the attempt's class, or 0 if the class is unknown.
 	tier int
 }
 
-// piece is a part of the answer, or its end.
-type piece struct {
+// chunk is a chunk of the response, or its end.
+type chunk struct {
 	upstream.Piece
 	end *upstream.End
 }
 
-// Attempt carries one attempt from its offer to its end.
+// Attempt handles one attempt from its offer to its end.
 func (s *Server) Attempt(ctx context.Context, st *stream) error {
 	cmd, err := st.Receive()
 	if err != nil {
@@ -81,15 +81,15 @@
 		return connect.NewError(connect.CodeInvalidArgument, errNoOffer)
 	}
 	x := &session{
-		s:       s,
-		id:      offer.GetAttempt(),
-		offer:   offer,
-		stream:  st,
-		signals: make(chan agent.Effect, signalBacklog),
-		pieces:  make(chan piece),
+		s:           s,
+		id:          offer.GetAttempt(),
+		offer:       offer,
+		stream:      st,
+		effectQueue: make(chan agent.Effect, effectQueueSize),
+		chunks:      make(chan chunk),
 	}
 	runs := make(chan *gladegaugev1.Run, 1)
-	// Receive returns only after this handler has, so nobody waits for it here.
+	// The receiver is not waited for here: Receive returns only after this handler has.
 	s.receivers.Go(func() error {
 		x.receive(runs)
 		return nil
@@ -99,7 +99,7 @@
 	return err
 }
 
-// receive passes on the claim, and closes the channel when the entry is gone.
+// receive forwards the claim, and closes the channel when the entry has disconnected.
 func (x *session) receive(runs chan<- *gladegaugev1.Run) {
 	defer close(runs)
 	for {
@@ -120,20 +120,20 @@
 	}
 }
 
-// serve works until the attempt has ended.
+// serve handles the attempt's events until it has ended.
 func (x *session) serve(ctx context.Context, runs <-chan *gladegaugev1.Run) error {
 	if ended, err := x.open(); ended || err != nil {
 		return err
 	}
 	defer x.unregister()
-	heartbeat := time.NewTicker(heartbeatEvery)
+	heartbeat := time.NewTicker(heartbeatInterval)
 	defer heartbeat.Stop()
-	left := ctx.Done()
+	disconnected := ctx.Done()
 	for {
 		var ended bool
 		var err error
 		select {
-		case effect := <-x.signals:
+		case effect := <-x.effectQueue:
 			ended, err = x.onEffect(ctx, effect)
 		case run, ok := <-runs:
 			if ok {
@@ -141,17 +141,17 @@
 				continue
 			}
 			runs = nil
-			ended = x.leave()
-		case p := <-x.pieces:
-			ended, err = x.onPiece(ctx, p)
+			ended = x.withdraw()
+		case p := <-x.chunks:
+			ended, err = x.onChunk(ctx, p)
 		case <-heartbeat.C:
 			err = x.heartbeat()
-		case <-left:
-			left = nil
-			ended = x.leave()
+		case <-disconnected:
+			disconnected = nil
+			ended = x.withdraw()
 		}
-		if err != nil && !x.gone {
-			ended = x.leave()
+		if err != nil && !x.entryGone {
+			ended = x.withdraw()
 		}
 		if ended {
 			return err
@@ -159,8 +159,8 @@
 	}
 }
 
-// open registers the session and makes the offer. It reports true if the
-// attempt ended with that.
+// open registers the session and makes the offer. It returns true if that ended the
+// attempt.
 func (x *session) open() (bool, error) {
 	var accepted *gladegaugev1.Accepted
 	known := false
@@ -177,7 +177,7 @@
 			p, _ := x.s.sync.Config().Pool(x.s.o.Pool)
 			x.retryable = c.Repeatable && p != nil && p.Kind == config.KindModel
 		}
-		x.s.apply(x.s.agent.Offer(now, x.coreOffer(now)))
+		x.s.deliver(x.s.agent.Offer(now, x.coreOffer(now)))
 		accepted = &gladegaugev1.Accepted{Load: x.s.load()}
 	})
 	switch {
@@ -185,8 +185,8 @@
 		return true, x.refuse(agent.Refuse{Reason: agent.UpstreamDown, RetryAfter: time.Second})
 	case known:
 		return true, x.refuse(agent.Refuse{Reason: agent.Stale})
-	case len(x.signals) > 0:
-		// What was decided at once tells the load too.
+	case len(x.effectQueue) > 0:
+		// The offer was decided at once, so the load is reported with the decision.
 		x.load = accepted.GetLoad()
 		return false, nil
 	default:
@@ -215,21 +215,20 @@
 func (x *session) claim(run *gladegaugev1.Run) {
 	x.run = run
 	x.offset = int(run.GetResumeOffset())
-	x.s.loop.Must(func(now time.Time) { x.s.apply(x.s.agent.Claim(now, x.id, run.GetIncarnation())) })
+	x.s.loop.Must(func(now time.Time) { x.s.deliver(x.s.agent.Claim(now, x.id, run.GetIncarnation())) })
 }
 
-// leave withdraws the attempt, since the entry is gone. It reports true if
-// nothing is left to wait for.
-func (x *session) leave() bool {
-	if !x.gone {
-		x.gone = true
-		x.s.loop.Must(func(now time.Time) { x.s.apply(x.s.agent.Withdraw(now, x.id)) })
+// withdraw withdraws the attempt after the entry has disconnected. It returns true if no
+// run is left to wait for.
+func (x *session) withdraw() bool {
+	if !x.entryGone {
+		x.entryGone = true
+		x.s.loop.Must(func(now time.Time) { x.s.deliver(x.s.agent.Withdraw(now, x.id)) })
 	}
 	return !x.running
 }
 
-// onEffect carries out what the agent decided. It reports true if the attempt
-// has ended.
+// onEffect executes an effect of the agent. It returns true if the attempt has ended.
 func (x *session) onEffect(ctx context.Context, effect agent.Effect) (bool, error) {
 	switch e := effect.(type) {
 	case agent.Grant:
@@ -243,12 +242,12 @@
 		x.stopping = true
 		x.cancelRun()
 	case agent.Fail:
-		return true, x.fail(&gladegaugev1.Failed{AlreadyRun: e.AlreadyRun, Detail: "given up after it had begun"})
+		return true, x.fail(&gladegaugev1.Failed{AlreadyRun: e.AlreadyRun, Detail: "attempt started, but its response will not be completed"})
 	}
 	return false, nil
 }
 
-// start calls the upstream, from where the answer stands.
+// start calls the upstream, and resumes the response at its current offset.
 func (x *session) start(ctx context.Context) {
 	ctx, x.cancelRun = context.WithCancel(ctx)
 	x.running = true
@@ -263,13 +262,13 @@
 	x.calls.Go(func() error {
 		end := x.s.upstream.Do(ctx, call, func(p upstream.Piece) error {
 			select {
-			case x.pieces <- piece{Piece: p}:
+			case x.chunks <- chunk{Piece: p}:
 				return nil
 			case <-ctx.Done():
 				return ctx.Err()
 			}
 		})
-		x.pieces <- piece{end: &end}
+		x.chunks <- chunk{end: &end}
 		return nil
 	})
 }
@@ -289,7 +288,7 @@
 	return x.send(&gladegaugev1.AttemptEvent{Event: &gladegaugev1.AttemptEvent_Failed{Failed: f}})
 }
 
-// load returns the message of the present load. It runs in the control loop.
+// load returns the current load as a message. It runs in the control loop.
 func (s *Server) load() *gladegaugev1.Load {
 	if s.agent == nil {
 		return nil
--- a/internal/edge/upstream/orders.go
+++ b/internal/edge/upstream/orders.go
@@ -11,18 +11,19 @@
 	"github.com/gladegauge/gladegauge/internal/core/placement"
 )
 
-// ErrFenced says that the upstream has seen a higher fence.
-var ErrFenced = errors.New("order refused: a higher fence was seen")
+// ErrFenced is the error of an order whose fencing token is lower than one that the
+// upstream has seen.
+var ErrFenced = errors.New("order rejected: the upstream has seen the fencing token of a later agent or revision")
 
-// stateBody is the upstream's word of what it has loaded.
-type stateBody struct {
+// stateResponse is the upstream's report of what it has loaded.
+type stateResponse struct {
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters"`
 	Role     string   `json:"role"`
 }
 
-// orderBody is an order on its way.
-type orderBody struct {
+// orderRequest is the body of an order.
+type orderRequest struct {
 	Kind string `json:"kind"`
 	Name string `json:"name"`
 }
@@ -41,20 +42,20 @@
 	if resp.StatusCode != http.StatusOK {
 		return placement.State{}, errors.Newf("upstream state: %s", resp.Status)
 	}
-	var body stateBody
+	var body stateResponse
 	if err := json.NewDecoder(resp.Body).Decode(&body); err != nil {
 		return placement.State{}, errors.Wrap(err, "upstream state")
 	}
 	return placement.State{Version: body.Version, Adapters: body.Adapters, Role: body.Role}, nil
 }
 
-// Order gives one order, under a fence.
+// Order sends one order with a fencing token.
 func (c *Client) Order(ctx context.Context, o placement.Order, fence string) error {
-	text, err := json.Marshal(orderBody{Kind: string(o.Kind), Name: o.Name})
+	text, err := json.Marshal(orderRequest{Kind: string(o.Kind), Name: o.Name})
 	if err != nil {
 		return errors.Wrap(err, "order")
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+"/v1/orders", once{bytes.NewReader(text)})
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+"/v1/orders", oneShotBody{bytes.NewReader(text)})
 	if err != nil {
 		return errors.Wrap(err, "upstream address")
 	}
--- a/internal/edge/upstream/upstream.go
+++ b/internal/edge/upstream/upstream.go
@@ -1,13 +1,13 @@
-// Package upstream calls the one upstream that an agent stands before.
+// Package upstream calls the upstream of an agent.
 //
-// An answer that is a stream of server-sent events is cut at the events, which
-// are its unit of offset: a broken stream can be continued at an event. Any
-// other answer is passed on in bytes.
+// An event stream (server-sent events) is split into events, which are its unit of
+// offset: an interrupted stream can be resumed at an event. Any other response is
+// forwarded in bytes.
 //
 // # Usage
 //
 //	c := upstream.New(url, httpClient)
-//	end := c.Do(ctx, call, func(p upstream.Piece) error { return pass(p) })
+//	end := c.Do(ctx, call, func(p upstream.Piece) error { return forward(p) })
 package upstream
 
 import (
@@ -27,23 +27,23 @@
 	"github.com/gladegauge/gladegauge/internal/core/notice"
 )
 
-// Headers of the upstreams' protocol.
+// Headers of the protocol of upstreams.
 const (
-	// ResumeHeader asks an engine to continue an answer at an event.
+	// ResumeHeader asks an engine to resume a response at an event.
 	ResumeHeader = "Resume-Offset"
-	// PriorityHeader tells an engine the tier; 1 is the highest.
+	// PriorityHeader is the tier of the request; 1 is the highest.
 	PriorityHeader = "X-Priority"
-	// FenceHeader carries the fence of an order.
+	// FenceHeader is the fencing token of an order.
 	FenceHeader = "X-Fence"
 )
 
-// Sizes of an answer's parts.
+// Limits of the parts of a response.
 const (
-	maxEvent  = 1 << 20
-	pieceSize = 16 << 10
+	maxEventBytes  = 1 << 20
+	readBufferSize = 16 << 10
 )
 
-// doneEvent ends a stream of server-sent events.
+// doneEvent is the last event of a stream.
 var doneEvent = []byte("data: [DONE]")
 
 // Call is one request to the upstream.
@@ -52,49 +52,50 @@
 	Path    string
 	Headers http.Header
 	Body    []byte
-	// Resume is the number of events that the caller has already.
+	// Resume is the number of events that the caller has already received.
 	Resume int
 }
 
-// Piece is a part of the answer. The first has a Head.
+// Piece is a part of a response. The first one has a Head.
 type Piece struct {
 	Head   *Head
 	Offset int
-	// Next is the offset of the piece that follows.
+	// Next is the offset of the following chunk.
 	Next   int
 	Data   []byte
 	Tokens int
 }
 
-// Head is the status and headers of an answer.
+// Head is the status and headers of a response.
 type Head struct {
 	Status  int
 	Headers http.Header
 }
 
-// Rest is how long the upstream wants nothing, by a refusal; 0 if it does not say.
+// Rest returns the backoff that a response with status 503 requests, or 0 if it requests
+// none.
 func (h *Head) Rest() time.Duration {
 	if h.Status != http.StatusServiceUnavailable {
 		return 0
 	}
-	rest, _ := notice.ParseRetryAfter(h.Headers.Get("Retry-After"))
-	return rest
+	backoff, _ := notice.ParseRetryAfter(h.Headers.Get("Retry-After"))
+	return backoff
 }
 
 // Ending is how a call ended.
 type Ending int
 
-// Endings of a call.
+// Results of a call.
 const (
-	// Complete means that the whole answer was passed on.
+	// Complete means that the whole response was forwarded.
 	Complete Ending = iota + 1
-	// Broken means that the upstream, or the caller, broke off.
+	// Broken means that the upstream or the caller closed the connection early.
 	Broken
-	// NotTaken means that the upstream certainly did not take the request.
+	// NotTaken means that the upstream certainly did not accept the request.
 	NotTaken
 )
 
-// End is the end of a call. Length is in events or bytes.
+// End is the end of a call. Length is the length of the response in events or bytes.
 type End struct {
 	Ending Ending
 	Length int
@@ -107,14 +108,14 @@
 	http *http.Client
 }
 
-// New returns a client of the upstream at base.
+// New returns a client for the upstream at base.
 func New(base string, c *http.Client) *Client {
 	return &Client{base: strings.TrimSuffix(base, "/"), http: c}
 }
 
-// Do makes the call and passes on its pieces.
-func (c *Client) Do(ctx context.Context, call Call, pass func(Piece) error) End {
-	req, err := http.NewRequestWithContext(ctx, call.Method, c.base+call.Path, once{bytes.NewReader(call.Body)})
+// Do sends the request and forwards the chunks of the response.
+func (c *Client) Do(ctx context.Context, call Call, forward func(Piece) error) End {
+	req, err := http.NewRequestWithContext(ctx, call.Method, c.base+call.Path, oneShotBody{bytes.NewReader(call.Body)})
 	if err != nil {
 		return End{Ending: NotTaken, Err: errors.Wrap(err, "upstream request")}
 	}
@@ -125,24 +126,24 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return End{Ending: endingOf(err), Err: errors.Wrap(err, "upstream")}
+		return End{Ending: resultOf(err), Err: errors.Wrap(err, "upstream")}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	if err := pass(Piece{Head: &Head{Status: resp.StatusCode, Headers: resp.Header}, Offset: call.Resume}); err != nil {
+	if err := forward(Piece{Head: &Head{Status: resp.StatusCode, Headers: resp.Header}, Offset: call.Resume}); err != nil {
 		return End{Ending: Broken, Length: call.Resume, Err: err}
 	}
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
-		return passEvents(resp.Body, call.Resume, pass)
+		return forwardEvents(resp.Body, call.Resume, forward)
 	}
-	return passBytes(resp.Body, pass)
+	return forwardBytes(resp.Body, forward)
 }
 
-// once is a body that cannot be read again. It keeps the transport from
-// sending the request a second time by itself on a connection that broke.
-type once struct{ io.Reader }
+// oneShotBody is a body that cannot be rewound. This prevents the transport from
+// resending the request on its own when a connection breaks.
+type oneShotBody struct{ io.Reader }
 
-// endingOf tells an upstream that was never reached from one that broke off.
-func endingOf(err error) Ending {
+// resultOf distinguishes an upstream that was never reached from an interrupted call.
+func resultOf(err error) Ending {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return NotTaken
@@ -150,19 +151,19 @@
 	return Broken
 }
 
-func passEvents(body io.Reader, offset int, pass func(Piece) error) End {
-	r := bufio.NewReaderSize(body, pieceSize)
+func forwardEvents(body io.Reader, offset int, forward func(Piece) error) End {
+	r := bufio.NewReaderSize(body, readBufferSize)
 	for {
 		event, err := readEvent(r)
 		if err != nil {
 			return End{Ending: Broken, Length: offset, Err: err}
 		}
 		done := bytes.HasPrefix(event, doneEvent)
-		piece := Piece{Offset: offset, Next: offset + 1, Data: event, Tokens: 1}
+		chunk := Piece{Offset: offset, Next: offset + 1, Data: event, Tokens: 1}
 		if done {
-			piece.Tokens = 0
+			chunk.Tokens = 0
 		}
-		if err := pass(piece); err != nil {
+		if err := forward(chunk); err != nil {
 			return End{Ending: Broken, Length: offset, Err: err}
 		}
 		offset++
@@ -172,20 +173,20 @@
 	}
 }
 
-// readEvent reads up to and with the blank line that ends an event.
+// readEvent reads one event, including the blank line that ends it.
 func readEvent(r *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
 		line, err := r.ReadSlice('\n')
 		event = append(event, line...)
-		if errors.Is(err, bufio.ErrBufferFull) && len(event) <= maxEvent {
+		if errors.Is(err, bufio.ErrBufferFull) && len(event) <= maxEventBytes {
 			continue
 		}
 		if err != nil {
-			return nil, errors.Wrap(err, "stream broke off")
+			return nil, errors.Wrap(err, "event stream interrupted")
 		}
-		if len(event) > maxEvent {
-			return nil, errors.Newf("event is larger than %d bytes", maxEvent)
+		if len(event) > maxEventBytes {
+			return nil, errors.Newf("event is larger than %d bytes", maxEventBytes)
 		}
 		if len(bytes.TrimRight(line, "\r\n")) == 0 {
 			return event, nil
@@ -193,14 +194,14 @@
 	}
 }
 
-func passBytes(body io.Reader, pass func(Piece) error) End {
+func forwardBytes(body io.Reader, forward func(Piece) error) End {
 	offset := 0
-	buf := make([]byte, pieceSize)
+	buf := make([]byte, readBufferSize)
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
-			if passErr := pass(Piece{Offset: offset, Next: offset + n, Data: bytes.Clone(buf[:n])}); passErr != nil {
-				return End{Ending: Broken, Length: offset, Err: passErr}
+			if forwardErr := forward(Piece{Offset: offset, Next: offset + n, Data: bytes.Clone(buf[:n])}); forwardErr != nil {
+				return End{Ending: Broken, Length: offset, Err: forwardErr}
 			}
 			offset += n
 		}
@@ -208,25 +209,25 @@
 			return End{Ending: Complete, Length: offset}
 		}
 		if err != nil {
-			return End{Ending: Broken, Length: offset, Err: errors.Wrap(err, "answer broke off")}
+			return End{Ending: Broken, Length: offset, Err: errors.Wrap(err, "response interrupted")}
 		}
 	}
 }
 
 // Refuses reports whether nothing listens at the upstream's address any more.
 func (c *Client) Refuses(ctx context.Context) bool {
-	_, err := c.health(ctx)
+	_, err := c.healthStatus(ctx)
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// Healthy reports whether the upstream answers.
+// Healthy reports whether the upstream passes its health check.
 func (c *Client) Healthy(ctx context.Context) bool {
-	status, err := c.health(ctx)
+	status, err := c.healthStatus(ctx)
 	return err == nil && status == http.StatusOK
 }
 
-// health returns the status of the upstream's answer on its health.
-func (c *Client) health(ctx context.Context) (int, error) {
+// healthStatus returns the HTTP status of the upstream's health check.
+func (c *Client) healthStatus(ctx context.Context) (int, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/healthz", nil)
 	if err != nil {
 		return 0, errors.WithStack(err)
--- a/internal/edge/upstream/upstream_test.go
+++ b/internal/edge/upstream/upstream_test.go
@@ -12,8 +12,8 @@
 	"github.com/matryer/is"
 )
 
-// answerAll collects the pieces of an answer.
-func answerAll(t *testing.T, h http.HandlerFunc, call Call) (string, End) {
+// collectResponse collects the chunks of a response.
+func collectResponse(t *testing.T, h http.HandlerFunc, call Call) (string, End) {
 	t.Helper()
 	server := httptest.NewServer(h)
 	defer server.Close()
@@ -28,12 +28,12 @@
 	return text.String(), end
 }
 
-func TestEndings(t *testing.T) {
+func TestResults(t *testing.T) {
 	events := func(w http.ResponseWriter) { w.Header().Set("Content-Type", "text/event-stream") }
 	tests := []struct {
 		name   string
 		answer http.HandlerFunc
-		ending Ending
+		result Ending
 		length int
 	}{
 		{"whole stream", func(w http.ResponseWriter, _ *http.Request) {
@@ -60,8 +60,8 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			_, end := answerAll(t, tt.answer, Call{Method: "POST", Path: "/"})
-			is.Equal(end.Ending, tt.ending)
+			_, end := collectResponse(t, tt.answer, Call{Method: "POST", Path: "/"})
+			is.Equal(end.Ending, tt.result)
 			is.Equal(end.Length, tt.length)
 		})
 	}
@@ -73,8 +73,8 @@
 	is.Equal(end.Ending, NotTaken)
 }
 
-// TestSentOnce breaks a kept connection after it took a request: the library
-// must not send the request again by itself, whatever its method and headers.
+// TestSentOnce breaks a kept-alive connection after it accepted a request. The HTTP
+// transport must not resend the request on its own, whatever its method and headers.
 func TestSentOnce(t *testing.T) {
 	for _, method := range []string{"POST", "GET", "PUT", "DELETE"} {
 		t.Run(method, func(t *testing.T) {
@@ -89,10 +89,10 @@
 			defer server.Close()
 			c := New(server.URL, server.Client())
 			headers := http.Header{"Idempotency-Key": {"k"}}
-			pass := func(Piece) error { return nil }
-			first := c.Do(context.Background(), Call{Method: method, Path: "/", Headers: headers}, pass)
+			forward := func(Piece) error { return nil }
+			first := c.Do(context.Background(), Call{Method: method, Path: "/", Headers: headers}, forward)
 			is.Equal(first.Ending, Complete)
-			second := c.Do(context.Background(), Call{Method: method, Path: "/", Headers: headers}, pass)
+			second := c.Do(context.Background(), Call{Method: method, Path: "/", Headers: headers}, forward)
 			is.Equal(second.Ending, Broken)
 			is.Equal(calls.Load(), int32(2))
 		})
