--- a/internal/edge/convert/convert.go
+++ b/internal/edge/convert/convert.go
@@ -1,4 +1,4 @@
-// Package convert turns the core's values into messages and back.
+// Package convert converts between values of the core packages and protobuf messages.
 //
 // # Usage
 //
@@ -14,7 +14,7 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// Load returns the message of a load.
+// Load returns the message for a load.
 func Load(l agent.Load, v *gladegaugev1.Version) *gladegaugev1.Load {
 	msg := &gladegaugev1.Load{
 		FreeSlots: uint32(l.FreeSlots),
@@ -43,14 +43,15 @@
 	return l
 }
 
-// Milliseconds rounds up, so that a short time is not none.
+// Milliseconds converts a duration and rounds up, so that a short duration does not
+// become 0.
 func Milliseconds(d time.Duration) uint32 {
-	const most = time.Duration(1<<32-1) * time.Millisecond
-	d = min(max(d, 0), most)
+	const limit = time.Duration(1<<32-1) * time.Millisecond
+	d = min(max(d, 0), limit)
 	return uint32((d + time.Millisecond - 1) / time.Millisecond)
 }
 
-// Reason returns the message of a reason; both have the same numbers.
+// Reason returns the message value of a reason. The numbers of both enums are the same.
 func Reason(r agent.Reason) gladegaugev1.RefusalReason {
 	return gladegaugev1.RefusalReason(r)
 }
@@ -64,7 +65,7 @@
 	}
 }
 
-// Events reports whether an answer is a stream of server-sent events.
+// Events reports whether a response is an event stream (server-sent events).
 func Events(h *gladegaugev1.Head) bool {
 	for _, header := range h.GetHeaders() {
 		if strings.EqualFold(header.GetName(), "Content-Type") {
--- a/internal/edge/ctl/burn.go
+++ b/internal/edge/ctl/burn.go
@@ -19,7 +19,7 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// burnFormats are the formats of the burn report.
+// burnFormats are the output formats of the burn report.
 var burnFormats = []string{"table", "json"}
 
 func burnCommand() *program.Command {
@@ -38,26 +38,26 @@
 		},
 		Check: c.check,
 		Do: func(ctx context.Context, _ []string) int {
-			objectives, err := objectivesOf(dir)
+			objectives, err := loadObjectives(dir)
 			if err != nil {
-				return complain(os.Stderr, err)
+				return printError(os.Stderr, err)
 			}
 			cells, ok := c.cells(ctx)
 			lines := burn.Report(time.Now(), burn.Merge(cells...), objectives, organisations)
 			if err := printBurn(os.Stdout, format, lines); err != nil {
-				return complain(os.Stderr, err)
+				return printError(os.Stderr, err)
 			}
 			if page != "" {
 				if err := writeBurnPage(page, lines); err != nil {
-					return complain(os.Stderr, err)
+					return printError(os.Stderr, err)
 				}
 			}
-			return exitOf(ok && !usedUp(lines))
+			return exitCode(ok && !budgetExhausted(lines))
 		},
 	}
 }
 
-func objectivesOf(dir string) (map[string]float64, error) {
+func loadObjectives(dir string) (map[string]float64, error) {
 	source, err := configdir.Read(dir)
 	if err != nil {
 		return nil, err
@@ -73,10 +73,10 @@
 	return objectives, nil
 }
 
-// cells fetches the cells of each entry.
+// cells fetches the cells of all entries.
 func (c *connection) cells(ctx context.Context) ([][]burn.Cell, bool) {
 	var all [][]burn.Cell
-	ok := c.each(func(_ string, op operatorClient) error {
+	ok := c.forEachProcess(func(_ string, op operatorClient) error {
 		resp, err := op.Burn(ctx, connect.NewRequest(&gladegaugev1.BurnRequest{}))
 		if err != nil {
 			return err
@@ -92,7 +92,7 @@
 	return all, ok
 }
 
-func usedUp(lines []burn.Line) bool {
+func budgetExhausted(lines []burn.Line) bool {
 	for _, l := range lines {
 		if l.Left <= 0 {
 			return true
@@ -118,12 +118,12 @@
 		for _, r := range l.Rates {
 			_, _ = fmt.Fprintf(t, "\t%.2f", r.Burn)
 		}
-		_, _ = fmt.Fprintf(t, "\t%.0f %%\t%s\n", 100*l.Left, left(l))
+		_, _ = fmt.Fprintf(t, "\t%.0f %%\t%s\n", 100*l.Left, timeLeft(l))
 	}
 	return t.Flush()
 }
 
-func left(l burn.Line) string {
+func timeLeft(l burn.Line) string {
 	switch {
 	case l.Left <= 0:
 		return "now"
--- a/internal/edge/ctl/config.go
+++ b/internal/edge/ctl/config.go
@@ -18,16 +18,16 @@
 	"github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1/gladegaugev1connect"
 )
 
-// readChecked reads a folder and prints the faults of what it holds.
-func readChecked(dir string) (*configdir.Source, *config.Config, bool) {
+// loadConfig reads a configuration folder and prints its faults.
+func loadConfig(dir string) (*configdir.Source, *config.Config, bool) {
 	source, err := configdir.Read(dir)
 	if err != nil {
-		complain(os.Stderr, err)
+		printError(os.Stderr, err)
 		return nil, nil, false
 	}
 	cfg, faults := config.New(source.Configuration)
 	for _, f := range faults {
-		out("%s: %s\n", source.Locate(f.Field), f.Problem)
+		printf("%s: %s\n", source.Locate(f.Field), f.Problem)
 	}
 	return source, cfg, len(faults) == 0
 }
@@ -40,30 +40,30 @@
 		Long:    "[flags] DIR",
 		Declare: c.declare,
 		Do: func(ctx context.Context, args []string) int {
-			dir, ok := oneArgument(args, "DIR")
+			dir, ok := singleArgument(args, "DIR")
 			if !ok {
 				return program.ExitSettings
 			}
-			source, cfg, accepted := readChecked(dir)
+			source, cfg, accepted := loadConfig(dir)
 			if accepted && c.processes != "" {
 				accepted = checkRemote(ctx, &c, source)
 			}
 			if !accepted {
-				out("rejected\n")
+				printf("rejected\n")
 				return program.ExitFailure
 			}
-			out("accepted: revision %d, %d classes, %d pools, %d organisations\n",
+			printf("accepted: revision %d, %d classes, %d pools, %d organisations\n",
 				cfg.Revision(), len(cfg.Classes()), len(cfg.Pools()), cfg.OrganisationCount())
 			return program.ExitOK
 		},
 	}
 }
 
-// checkRemote asks running entries for their verdict.
+// checkRemote lets running entries check the configuration.
 func checkRemote(ctx context.Context, c *connection, source *configdir.Source) bool {
 	client, err := c.keys.Client()
 	if err != nil {
-		complain(os.Stderr, err)
+		printError(os.Stderr, err)
 		return false
 	}
 	accepted := true
@@ -71,14 +71,14 @@
 		op := gladegaugev1connect.NewOperatorServiceClient(client, c.keys.URL(address))
 		resp, err := op.Check(ctx, connect.NewRequest(&gladegaugev1.CheckRequest{Configuration: source.Configuration}))
 		if err != nil {
-			complain(os.Stderr, errors.Wrap(err, address))
+			printError(os.Stderr, errors.Wrap(err, address))
 			return false
 		}
 		for _, f := range resp.Msg.GetFaults() {
-			out("%s: %s: %s\n", address, source.Locate(f.GetField()), f.GetProblem())
+			printf("%s: %s: %s\n", address, source.Locate(f.GetField()), f.GetProblem())
 		}
 		for _, line := range resp.Msg.GetChanges() {
-			out("%s: %s\n", address, line)
+			printf("%s: %s\n", address, line)
 		}
 		accepted = accepted && resp.Msg.GetAccepted()
 	}
@@ -97,30 +97,30 @@
 			s.Int(&parent, "parent", 0, "last accepted revision before this one; 0 means one less")
 		},
 		Do: func(_ context.Context, args []string) int {
-			dir, ok := oneArgument(args, "DIR")
+			dir, ok := singleArgument(args, "DIR")
 			if !ok {
 				return program.ExitSettings
 			}
-			source, cfg, accepted := readChecked(dir)
+			source, cfg, accepted := loadConfig(dir)
 			if !accepted {
-				out("rejected\n")
+				printf("rejected\n")
 				return program.ExitFailure
 			}
-			before := uint64(max(0, parent))
-			if before == 0 {
-				before = cfg.Revision() - 1
+			parentRevision := uint64(max(0, parent))
+			if parentRevision == 0 {
+				parentRevision = cfg.Revision() - 1
 			}
-			n, err := writeValues(target, config.Split(source.Configuration, before))
+			n, err := writeValues(target, config.Split(source.Configuration, parentRevision))
 			if err != nil {
-				return complain(os.Stderr, err)
+				return printError(os.Stderr, err)
 			}
-			out("revision %d: %d values in %s\n", cfg.Revision(), n, target)
+			printf("revision %d: %d values in %s\n", cfg.Revision(), n, target)
 			return program.ExitOK
 		},
 	}
 }
 
-// writeValues writes a document as the values that the platform publishes.
+// writeValues writes a document as the values for the platform to publish.
 func writeValues(dir string, doc config.Document) (int, error) {
 	manifest, err := proto.MarshalOptions{Deterministic: true}.Marshal(doc.Manifest)
 	if err != nil {
@@ -135,7 +135,7 @@
 	}
 	for name, data := range values {
 		if len(data) > config.MaxShardBytes {
-			return 0, errors.Newf("%s: %d bytes are more than the platform holds", name, len(data))
+			return 0, errors.Newf("%s: %d bytes exceed the size limit of the platform", name, len(data))
 		}
 		path := filepath.Join(dir, filepath.FromSlash(name))
 		if err := os.MkdirAll(filepath.Dir(path), 0o750); err != nil {
--- a/internal/edge/ctl/ctl.go
+++ b/internal/edge/ctl/ctl.go
@@ -1,6 +1,7 @@
-// Package ctl holds the subcommands of the operators' tool.
+// Package ctl implements the subcommands of the tool for operators.
 //
-// Exit codes: 0 for yes or done, 1 for no or not done, 2 for wrong arguments.
+// Exit codes: 0 for success or a positive result, 1 for failure or a negative result,
+// 2 for wrong arguments.
 //
 // # Usage
 //
@@ -25,7 +26,7 @@
 	}
 }
 
-// connection is the settings of commands that call processes.
+// connection holds the settings of commands that call processes.
 type connection struct {
 	processes string
 	keys      rpc.Keys
@@ -39,19 +40,19 @@
 	s.Bool(&c.keys.Plain, "insecure-plaintext", false, "call without TLS")
 }
 
-// out writes a command's output.
-func out(format string, args ...any) {
+// printf writes to the output of a command.
+func printf(format string, args ...any) {
 	_, _ = fmt.Fprintf(os.Stdout, format, args...)
 }
 
-// complain writes an error and returns the exit code for it.
-func complain(w io.Writer, err error) int {
+// printError writes an error and returns the exit code for it.
+func printError(w io.Writer, err error) int {
 	_, _ = fmt.Fprintln(w, err)
 	return program.ExitFailure
 }
 
-// oneArgument returns the only argument, or complains.
-func oneArgument(args []string, name string) (string, bool) {
+// singleArgument returns the only argument, or prints an error.
+func singleArgument(args []string, name string) (string, bool) {
 	if len(args) != 1 {
 		_, _ = fmt.Fprintf(os.Stderr, "%s: exactly one must be given\n", name)
 		return "", false
--- a/internal/edge/ctl/operate.go
+++ b/internal/edge/ctl/operate.go
@@ -17,10 +17,10 @@
 	"github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1/gladegaugev1connect"
 )
 
-// operatorClient is a process that an operator talks to.
+// operatorClient calls the OperatorService of a process.
 type operatorClient = gladegaugev1connect.OperatorServiceClient
 
-// check names settings that must be there to call processes.
+// check returns the faults of the settings needed to call processes.
 func (c *connection) check() config.Faults {
 	var f config.Faults
 	if c.processes == "" {
@@ -32,28 +32,28 @@
 	return f
 }
 
-// each calls every process in turn. It reports whether all calls succeeded.
-func (c *connection) each(call func(address string, op operatorClient) error) bool {
+// forEachProcess calls all processes in turn. It returns true if all calls succeeded.
+func (c *connection) forEachProcess(call func(address string, op operatorClient) error) bool {
 	client, err := c.keys.Client()
 	if err != nil {
-		complain(os.Stderr, err)
+		printError(os.Stderr, err)
 		return false
 	}
 	ok := true
 	for _, address := range program.SplitList(c.processes) {
-		if err := call(address, c.operator(client, address)); err != nil {
-			complain(os.Stderr, errors.Wrap(err, address))
+		if err := call(address, c.newClient(client, address)); err != nil {
+			printError(os.Stderr, errors.Wrap(err, address))
 			ok = false
 		}
 	}
 	return ok
 }
 
-func (c *connection) operator(client *http.Client, address string) operatorClient {
+func (c *connection) newClient(client *http.Client, address string) operatorClient {
 	return gladegaugev1connect.NewOperatorServiceClient(client, c.keys.URL(address))
 }
 
-func exitOf(ok bool) int {
+func exitCode(ok bool) int {
 	if ok {
 		return program.ExitOK
 	}
@@ -71,7 +71,7 @@
 			t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 			_, _ = fmt.Fprintln(t, "PROCESS\tROLE\tZONE\tREVISION\tSTATE\tIN PROGRESS\tDETAIL")
 			ready := true
-			ok := c.each(func(_ string, op operatorClient) error {
+			ok := c.forEachProcess(func(_ string, op operatorClient) error {
 				resp, err := op.Status(ctx, connect.NewRequest(&gladegaugev1.StatusRequest{}))
 				if err != nil {
 					return err
@@ -81,7 +81,7 @@
 				return nil
 			})
 			_ = t.Flush()
-			return exitOf(ok && ready)
+			return exitCode(ok && ready)
 		},
 	}
 }
@@ -119,18 +119,18 @@
 		},
 		Check: c.check,
 		Do: func(ctx context.Context, _ []string) int {
-			return exitOf(c.each(func(address string, op operatorClient) error {
+			return exitCode(c.forEachProcess(func(address string, op operatorClient) error {
 				req := &gladegaugev1.ExplainRequest{Class: class, Organisation: organisation}
 				resp, err := op.Explain(ctx, connect.NewRequest(req))
 				if err != nil {
 					return err
 				}
-				out("%s: %s\n", address, resp.Msg.GetDecision())
+				printf("%s: %s\n", address, resp.Msg.GetDecision())
 				for _, reason := range resp.Msg.GetReasons() {
-					out("  %s\n", reason)
+					printf("  %s\n", reason)
 				}
 				for _, u := range resp.Msg.GetCandidates() {
-					out("  agent %s: %s, wait %d ms, %d offers without an answer\n", u.GetId(), u.GetState(), u.GetWaitMs(), u.GetPending())
+					printf("  agent %s: %s, wait %d ms, %d offers without an answer\n", u.GetId(), u.GetState(), u.GetWaitMs(), u.GetPending())
 				}
 				return nil
 			}))
@@ -146,12 +146,12 @@
 		Declare: c.declare,
 		Check:   c.check,
 		Do: func(ctx context.Context, _ []string) int {
-			return exitOf(c.each(func(address string, op operatorClient) error {
+			return exitCode(c.forEachProcess(func(address string, op operatorClient) error {
 				resp, err := op.Drain(ctx, connect.NewRequest(&gladegaugev1.DrainRequest{}))
 				if err != nil {
 					return err
 				}
-				out("%s: drains, %d in progress\n", address, resp.Msg.GetInProgress())
+				printf("%s: drains, %d in progress\n", address, resp.Msg.GetInProgress())
 				return nil
 			}))
 		},
--- a/internal/edge/ctl/page.go
+++ b/internal/edge/ctl/page.go
@@ -21,8 +21,8 @@
 	plotWidth  = 22 * vg.Centimeter
 	plotHeight = 9 * vg.Centimeter
 	barWidth   = 7 * vg.Millimeter
-	// legendRoom leaves room for the legend above the bars.
-	legendRoom = 1.3
+	// legendScale extends the y axis to leave room for the legend above the bars.
+	legendScale = 1.3
 )
 
 // page is a self-contained HTML page.
@@ -48,14 +48,14 @@
 {{end}}</table></body></html>
 `))
 
-// series is one colour of bars.
+// series is one series of bars, drawn in one colour.
 type series struct {
 	name   string
 	values []float64
 }
 
-// bars draws groups of bars as an SVG picture.
-func bars(title, unit string, labels []string, all []series) (template.HTML, error) {
+// barChart renders a grouped bar chart as SVG.
+func barChart(title, unit string, labels []string, all []series) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text = title
 	p.Y.Label.Text = unit
@@ -73,7 +73,7 @@
 		p.Add(chart)
 		p.Legend.Add(s.name, chart)
 	}
-	p.Y.Max *= legendRoom
+	p.Y.Max *= legendScale
 	p.NominalX(labels...)
 	p.X.Tick.Label.Rotation = 0.5
 	p.X.Tick.Label.XAlign = draw.XRight
@@ -84,7 +84,7 @@
 		return "", fmt.Errorf("plot %s: %w", title, err)
 	}
 	svg := text.Bytes()
-	return template.HTML(svg[bytes.Index(svg, []byte("<svg")):]), nil //nolint:gosec // The picture is made here; its texts are escaped.
+	return template.HTML(svg[bytes.Index(svg, []byte("<svg")):]), nil //nolint:gosec // The SVG is generated here and its texts are escaped.
 }
 
 func (p *page) write(name string) error {
@@ -95,7 +95,7 @@
 	return os.WriteFile(name, text.Bytes(), 0o600)
 }
 
-// writeBurnPage writes the burn report as a page with a plot of each class.
+// writeBurnPage writes the burn report as a page with a chart of all classes.
 func writeBurnPage(name string, lines []burn.Line) error {
 	p := page{Title: "Service-level burn", Head: []string{"class", "organisation", "objective"}}
 	var labels []string
@@ -116,10 +116,10 @@
 		if l.Organisation == "" {
 			labels = append(labels, l.Class)
 		}
-		p.Rows = append(p.Rows, append(row, fmt.Sprintf("%.0f %%", 100*l.Left), left(l)))
+		p.Rows = append(p.Rows, append(row, fmt.Sprintf("%.0f %%", 100*l.Left), timeLeft(l)))
 	}
 	if len(labels) > 0 {
-		svg, err := bars("Burn by class and window", "1 = as fast as the budget allows", labels, all)
+		svg, err := barChart("Burn by class and window", "1 = as fast as the budget allows", labels, all)
 		if err != nil {
 			return err
 		}
--- a/internal/edge/ctl/report.go
+++ b/internal/edge/ctl/report.go
@@ -11,7 +11,7 @@
 	"github.com/gladegauge/gladegauge/internal/edge/settings"
 )
 
-// measureRow is what the report reads of a measured row.
+// measureRow holds the fields of a measurement that the report uses.
 type measureRow struct {
 	Deployment string  `json:"deployment"`
 	Scenario   string  `json:"scenario"`
@@ -30,7 +30,7 @@
 	Violations int     `json:"violations"`
 }
 
-// allClasses is the class of rows over a whole scenario.
+// allClasses is the class of rows that cover a whole scenario.
 const allClasses = "*"
 
 func reportCommand() *program.Command {
@@ -43,21 +43,21 @@
 			s.String(&html, "page", "", "HTML page to write as well")
 		},
 		Do: func(_ context.Context, args []string) int {
-			name, ok := oneArgument(args, "MEASURE.json")
+			name, ok := singleArgument(args, "MEASURE.json")
 			if !ok {
 				return program.ExitSettings
 			}
 			rows, err := readRows(name)
 			if err != nil {
-				return complain(os.Stderr, err)
+				return printError(os.Stderr, err)
 			}
-			broken := printRows(rows)
+			violated := printRows(rows)
 			if html != "" {
 				if err := writeRowsPage(html, rows); err != nil {
-					return complain(os.Stderr, err)
+					return printError(os.Stderr, err)
 				}
 			}
-			return exitOf(!broken)
+			return exitCode(!violated)
 		},
 	}
 }
@@ -74,7 +74,7 @@
 	return rows, nil
 }
 
-var rowHead = []string{
+var columnNames = []string{
 	"deployment", "scenario", "policy", "class", "sent", "completed", "refused", "unknown",
 	"attainment", "goodput", "wasted", "max wait ms", "fairness", "violations",
 }
@@ -88,17 +88,18 @@
 	}
 }
 
-// printRows reports whether the current policy broke a promise.
+// printRows prints the rows. It returns true if a row of the current policy has
+// violations.
 func printRows(rows []measureRow) bool {
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	defer func() { _ = t.Flush() }()
-	printCells(t, rowHead)
-	broken := false
+	printCells(t, columnNames)
+	violated := false
 	for i := range rows {
 		printCells(t, rows[i].cells())
-		broken = broken || (rows[i].Policy == "current" && rows[i].Violations > 0)
+		violated = violated || (rows[i].Policy == "current" && rows[i].Violations > 0)
 	}
-	return broken
+	return violated
 }
 
 func printCells(t *tabwriter.Writer, cells []string) {
@@ -108,9 +109,9 @@
 	_, _ = fmt.Fprintln(t)
 }
 
-// writeRowsPage writes the rows as a page with plots of goodput and waste.
+// writeRowsPage writes the rows as a page with charts of goodput, waste and attainment.
 func writeRowsPage(name string, rows []measureRow) error {
-	p := page{Title: "Measured sessions", Head: rowHead}
+	p := page{Title: "Measured sessions", Head: columnNames}
 	for i := range rows {
 		p.Rows = append(p.Rows, rows[i].cells())
 	}
@@ -122,8 +123,8 @@
 		{"Wasted work, of all", func(r *measureRow) float64 { return r.Wasted }},
 		{"Attainment over all classes", func(r *measureRow) float64 { return r.Attainment }},
 	} {
-		labels, all := byPolicy(rows, m.value)
-		svg, err := bars(m.title, "share", labels, all)
+		labels, all := seriesByPolicy(rows, m.value)
+		svg, err := barChart(m.title, "share", labels, all)
 		if err != nil {
 			return err
 		}
@@ -132,8 +133,9 @@
 	return p.write(name)
 }
 
-// byPolicy lists a figure of whole scenarios, a series for each policy.
-func byPolicy(rows []measureRow, value func(r *measureRow) float64) ([]string, []series) {
+// seriesByPolicy returns the values of the rows that cover a whole scenario, as one
+// series per policy, and their labels.
+func seriesByPolicy(rows []measureRow, value func(r *measureRow) float64) ([]string, []series) {
 	var labels []string
 	var all []series
 	index := make(map[string]int)
--- a/internal/edge/loop/loop.go
+++ b/internal/edge/loop/loop.go
@@ -1,7 +1,7 @@
-// Package loop runs the control state of a process in one goroutine.
+// Package loop confines the control state of a process to one goroutine.
 //
-// Traffic goroutines hand it short functions; nothing else touches the state,
-// so it needs no locks.
+// Other goroutines send it short functions to execute. Nothing else accesses the
+// state, so it needs no locks.
 //
 // # Usage
 //
@@ -17,34 +17,34 @@
 	"github.com/cockroachdb/errors"
 )
 
-// backlog is the number of functions that may wait.
-const backlog = 1024
+// queueSize is the maximum number of functions that wait to be executed.
+const queueSize = 1024
 
-// ErrStopped says that the loop has ended.
+// ErrStopped is returned once the loop has ended.
 var ErrStopped = errors.New("control loop has stopped")
 
-// Loop is one control goroutine.
+// Loop is a goroutine that executes functions one at a time.
 type Loop struct {
 	clock func() time.Time
-	work  chan func(now time.Time)
+	queue chan func(now time.Time)
 	done  chan struct{}
 }
 
-// New returns a loop that reads the present time from clock.
+// New returns a loop that reads the current time from clock.
 func New(clock func() time.Time) *Loop {
 	return &Loop{
 		clock: clock,
-		work:  make(chan func(now time.Time), backlog),
+		queue: make(chan func(now time.Time), queueSize),
 		done:  make(chan struct{}),
 	}
 }
 
-// Run carries out functions until the context ends.
+// Run executes functions until the context ends.
 func (l *Loop) Run(ctx context.Context) error {
 	defer close(l.done)
 	for {
 		select {
-		case f := <-l.work:
+		case f := <-l.queue:
 			f(l.clock())
 		case <-ctx.Done():
 			return nil
@@ -52,7 +52,7 @@
 	}
 }
 
-// Do carries out a function and waits until it has ended.
+// Do executes a function and waits until it has returned.
 func (l *Loop) Do(ctx context.Context, f func(now time.Time)) error {
 	if l.do(ctx.Done(), f) {
 		return nil
@@ -63,22 +63,23 @@
 	return ErrStopped
 }
 
-// Must carries out a function and waits, whatever became of any caller. It
-// reports false only if the loop has stopped.
+// Must executes a function and waits until it has returned, without a context that could
+// cancel it. It returns false only if the loop has stopped.
 func (l *Loop) Must(f func(now time.Time)) bool {
 	return l.do(nil, f)
 }
 
-// do reports false if the function was not taken, or the loop stopped first.
-func (l *Loop) do(gaveUp <-chan struct{}, f func(now time.Time)) bool {
+// do returns false if the function was not queued, or the loop stopped before it
+// returned.
+func (l *Loop) do(cancelled <-chan struct{}, f func(now time.Time)) bool {
 	finished := make(chan struct{})
 	wrapped := func(now time.Time) {
 		defer close(finished)
 		f(now)
 	}
 	select {
-	case l.work <- wrapped:
-	case <-gaveUp:
+	case l.queue <- wrapped:
+	case <-cancelled:
 		return false
 	case <-l.done:
 		return false
@@ -91,7 +92,7 @@
 	}
 }
 
-// Every carries out a function at each interval until the context ends.
+// Every executes a function at a fixed interval until the context ends.
 func (l *Loop) Every(ctx context.Context, d time.Duration, f func(now time.Time)) error {
 	ticker := time.NewTicker(d)
 	defer ticker.Stop()
@@ -107,7 +108,7 @@
 	}
 }
 
-// Pause waits; it reports false if the context ended first.
+// Pause waits for the duration. It returns false if the context ended first.
 func Pause(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/edge/ops/ops.go
+++ b/internal/edge/ops/ops.go
@@ -1,4 +1,4 @@
-// Package ops serves /metrics, /healthz, /readyz and the profiles of a process.
+// Package ops serves /metrics, /healthz, /readyz and the pprof profiles of a process.
 //
 // # Usage
 //
@@ -13,8 +13,8 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Handler returns the operators' pages. Ready returns an empty string, or why
-// the process takes no work.
+// Handler returns the handler of the operational endpoints. ready returns an empty
+// string, or the reason why the process is not ready.
 func Handler(reg *prometheus.Registry, ready func() string) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(reg, promhttp.HandlerOpts{}))
--- a/internal/edge/rpc/keys.go
+++ b/internal/edge/rpc/keys.go
@@ -12,67 +12,66 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Roles of a certificate.
+// Roles in certificates.
 const (
 	RoleEntry    = "entry"
 	RoleAgent    = "agent"
 	RoleOperator = "operator"
 )
 
-// reloadAfter is how long a certificate read from file is used without a look
-// at the file.
-const reloadAfter = 2 * time.Second
+// reloadInterval is the interval at which the certificate files are checked for changes.
+const reloadInterval = 2 * time.Second
 
-// Keys are the files of a process's identity. The zero value without Plain
-// cannot be used.
+// Keys are the credentials of a process, read from files. The zero value is only usable
+// with Plain set.
 type Keys struct {
 	Cert  string
 	Key   string
 	CA    string
 	Plain bool
-	// Expiry, if set, is told when the own certificate expires.
+	// Expiry, if set, is called with the expiry time of each certificate that is loaded.
 	Expiry func(time.Time)
 
-	mu     sync.Mutex
-	held   *tls.Certificate
-	pool   *x509.CertPool
-	readAt time.Time
-	stamp  [3]time.Time
+	mu        sync.Mutex
+	current   *tls.Certificate
+	roots     *x509.CertPool
+	checkedAt time.Time
+	modTimes  [3]time.Time
 }
 
-// load returns the certificate and the authorities, read again if the files
-// have changed. Files that cannot be read leave the last good ones in use.
+// load returns the certificate and the certificate authorities, and reads them again if
+// the files have changed. If they cannot be read, the previous ones stay in use.
 func (k *Keys) load() (*tls.Certificate, *x509.CertPool, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	if k.held != nil && now.Sub(k.readAt) < reloadAfter {
-		return k.held, k.pool, nil
+	if k.current != nil && now.Sub(k.checkedAt) < reloadInterval {
+		return k.current, k.roots, nil
 	}
-	stamp := k.stamps()
-	if k.held != nil && stamp == k.stamp {
-		k.readAt = now
-		return k.held, k.pool, nil
+	modTimes := k.fileTimes()
+	if k.current != nil && modTimes == k.modTimes {
+		k.checkedAt = now
+		return k.current, k.roots, nil
 	}
 	if err := k.read(); err != nil {
-		if k.held != nil {
-			return k.held, k.pool, nil
+		if k.current != nil {
+			return k.current, k.roots, nil
 		}
 		return nil, nil, err
 	}
-	k.readAt = now
-	k.stamp = stamp
-	return k.held, k.pool, nil
+	k.checkedAt = now
+	k.modTimes = modTimes
+	return k.current, k.roots, nil
 }
 
-func (k *Keys) stamps() [3]time.Time {
-	var stamps [3]time.Time
+func (k *Keys) fileTimes() [3]time.Time {
+	var fileTimes [3]time.Time
 	for i, name := range []string{k.Cert, k.Key, k.CA} {
 		if info, err := os.Stat(name); err == nil {
-			stamps[i] = info.ModTime()
+			fileTimes[i] = info.ModTime()
 		}
 	}
-	return stamps
+	return fileTimes
 }
 
 func (k *Keys) read() error {
@@ -84,12 +83,12 @@
 	if err != nil {
 		return errors.Wrap(err, "read certificate authority")
 	}
-	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(text) {
-		return errors.Newf("%s holds no certificate", k.CA)
+	roots := x509.NewCertPool()
+	if !roots.AppendCertsFromPEM(text) {
+		return errors.Newf("%s: no certificate found", k.CA)
 	}
-	k.held = &cert
-	k.pool = pool
+	k.current = &cert
+	k.roots = roots
 	if k.Expiry != nil && cert.Leaf != nil {
 		k.Expiry(cert.Leaf.NotAfter)
 	}
@@ -104,7 +103,7 @@
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{"h2", "http/1.1"},
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			cert, pool, err := k.load()
+			cert, roots, err := k.load()
 			if err != nil {
 				return nil, err
 			}
@@ -112,7 +111,7 @@
 				MinVersion:   tls.VersionTLS13,
 				NextProtos:   []string{"h2", "http/1.1"},
 				Certificates: []tls.Certificate{*cert},
-				ClientCAs:    pool,
+				ClientCAs:    roots,
 				ClientAuth:   tls.RequireAndVerifyClientCert,
 			}, nil
 		},
@@ -129,20 +128,20 @@
 			cert, _, err := k.load()
 			return cert, err
 		},
-		// The default check is replaced by one against the authorities as they
-		// are now, so that a replaced file takes effect without a restart.
-		InsecureSkipVerify: true, //nolint:gosec // VerifyConnection checks instead.
+		// The default verification is replaced by one against the current certificate
+		// authorities, so that a replaced file takes effect without a restart.
+		InsecureSkipVerify: true, //nolint:gosec // VerifyConnection verifies the certificate instead.
 		VerifyConnection:   k.verify,
 	}, nil
 }
 
 func (k *Keys) verify(state tls.ConnectionState) error {
-	_, pool, err := k.load()
+	_, roots, err := k.load()
 	if err != nil {
 		return err
 	}
 	options := x509.VerifyOptions{
-		Roots:         pool,
+		Roots:         roots,
 		DNSName:       state.ServerName,
 		Intermediates: x509.NewCertPool(),
 		KeyUsages:     []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth},
@@ -154,8 +153,8 @@
 	return errors.Wrap(err, "verify server")
 }
 
-// Only lets through callers whose certificate has one of the roles. In plain
-// text every caller passes.
+// Only rejects callers whose certificate has none of the roles. In plaintext, it accepts
+// every caller.
 func (k *Keys) Only(h http.Handler, roles ...string) http.Handler {
 	if k.Plain {
 		return h
@@ -169,7 +168,7 @@
 	})
 }
 
-// roleOf returns the role in the caller's verified certificate.
+// roleOf returns the role in the verified certificate of the caller.
 func roleOf(r *http.Request) string {
 	if r.TLS == nil || len(r.TLS.VerifiedChains) == 0 {
 		return ""
--- a/internal/edge/rpc/rpc.go
+++ b/internal/edge/rpc/rpc.go
@@ -1,8 +1,8 @@
-// Package rpc makes the HTTP servers and clients between the processes.
+// Package rpc creates the HTTP servers and clients for calls between processes.
 //
-// They speak HTTP/2 with mutual TLS, or in plain text if a setting says so.
-// Certificates come from files and are read again when the files change. The
-// role of a process is the organisational unit of its certificate.
+// They use HTTP/2 with mutual TLS, or plaintext if the settings allow it.
+// Certificates are read from files and reloaded when the files change. The role of
+// a process is the organisational unit of its certificate.
 //
 // # Usage
 //
@@ -22,30 +22,30 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Times and sizes of connections.
+// Timeouts and limits of connections.
 const (
 	headerTimeout  = 5 * time.Second
 	idleTimeout    = 5 * time.Minute
 	dialTimeout    = 2 * time.Second
-	pingAfter      = 2 * time.Second
+	pingInterval   = 2 * time.Second
 	pingTimeout    = 2 * time.Second
 	maxHeaderBytes = 64 << 10
 	maxStreams     = 10000
-	// maxFrame is the smallest that HTTP/2 allows. A client holds a buffer of
+	// maxFrameBytes is the minimum that HTTP/2 allows. A client allocates a buffer of
 	// this size for each open stream.
-	maxFrame = 16 << 10
+	maxFrameBytes = 16 << 10
 )
 
-// compressFrom is the size from which a message is compressed. Smaller ones
-// cost far more processor time than the bytes are worth.
-const compressFrom = 4 << 10
+// minCompressBytes is the minimum size of compressed messages. Compressing smaller ones
+// costs far more CPU time than the saved bytes are worth.
+const minCompressBytes = 4 << 10
 
-// SmallMessages keeps a service from compressing its small messages.
-var SmallMessages = connect.WithCompressMinBytes(compressFrom)
+// SmallMessages is an option of a service that leaves small messages uncompressed.
+var SmallMessages = connect.WithCompressMinBytes(minCompressBytes)
 
-// FastCompression compresses the large messages of a service at the least cost in
-// processor time and memory. What a relay tells its zone, many times a second, is hardly
-// smaller with more effort.
+// FastCompression is an option of a service that compresses large messages with minimal
+// CPU time and memory. The messages that a relay sends to its availability zone many
+// times per second hardly get smaller at higher levels.
 var FastCompression = connect.WithCompression("gzip", newDecompressor, newCompressor)
 
 func newDecompressor() connect.Decompressor { return new(gzip.Reader) }
@@ -66,7 +66,7 @@
 	return p
 }
 
-// Server returns a server of the handler, with mutual TLS unless plain.
+// Server returns a server for the handler, with mutual TLS unless Plain is set.
 func (k *Keys) Server(h http.Handler) (*http.Server, error) {
 	s := &http.Server{
 		Handler:           h,
@@ -76,8 +76,8 @@
 		Protocols:         protocols(),
 		HTTP2: &http.HTTP2Config{
 			MaxConcurrentStreams: maxStreams,
-			MaxReadFrameSize:     maxFrame,
-			SendPingTimeout:      pingAfter,
+			MaxReadFrameSize:     maxFrameBytes,
+			SendPingTimeout:      pingInterval,
 			PingTimeout:          pingTimeout,
 		},
 	}
@@ -103,7 +103,8 @@
 	return IgnoreClosed(errors.Wrapf(err, "serve %s", l.Addr()))
 }
 
-// IgnoreClosed returns the error of a server, but not that it was closed.
+// IgnoreClosed returns nil for the error of a closed server, and any other error as it
+// is.
 func IgnoreClosed(err error) error {
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
@@ -111,7 +112,7 @@
 	return err
 }
 
-// Client returns a client of the other processes.
+// Client returns a client for calls to other processes.
 func (k *Keys) Client() (*http.Client, error) {
 	p := new(http.Protocols)
 	p.SetHTTP2(true)
@@ -122,7 +123,7 @@
 		IdleConnTimeout:     idleTimeout,
 		TLSHandshakeTimeout: dialTimeout,
 		HTTP2: &http.HTTP2Config{
-			SendPingTimeout: pingAfter,
+			SendPingTimeout: pingInterval,
 			PingTimeout:     pingTimeout,
 		},
 	}
@@ -136,7 +137,7 @@
 	return &http.Client{Transport: t}, nil
 }
 
-// URL returns the base address of a process.
+// URL returns the base URL of a process.
 func (k *Keys) URL(address string) string {
 	if k.Plain {
 		return "http://" + address
