--- a/internal/edge/agentd/answer.go
+++ b/internal/edge/agentd/answer.go
@@ -32,7 +32,7 @@
 }
 
 func (x *session) onHead(h *upstream.Head) error {
-	if backoff := h.Rest(); backoff > 0 {
+	if backoff := h.RetryAfter(); backoff > 0 {
 		x.s.backoff(backoff)
 	}
 	if h.Status >= http.StatusInternalServerError && x.retryable {
@@ -47,7 +47,7 @@
 			head.Headers = append(head.Headers, &gladegaugev1.Header{Name: name, Value: v})
 		}
 	}
-	x.notEventStream = !convert.Events(head)
+	x.notEventStream = !convert.IsEventStream(head)
 	return x.send(&gladegaugev1.AttemptEvent{Event: &gladegaugev1.AttemptEvent_Head{Head: head}})
 }
 
@@ -56,28 +56,28 @@
 	x.running = false
 	x.cancelRun()
 	if x.retryElsewhere {
-		end = upstream.End{Ending: upstream.Broken, Err: errServerStatus}
+		end = upstream.End{Result: upstream.Aborted, Err: errServerStatus}
 	}
 	produced := max(1, int(x.tokens.Load()))
 	var load *gladegaugev1.Load
 	// A body that is not an event stream cannot be resumed once part of it was sent.
 	partialBody := x.notEventStream && x.offset > 0
-	stopped := x.stopping && end.Ending != upstream.Complete && !partialBody
+	stopped := x.stopping && end.Result != upstream.Complete && !partialBody
 	x.s.loop.Must(func(now time.Time) {
 		if stopped {
 			x.s.deliver(x.s.agent.Stopped(now, x.id, produced))
 		} else {
-			x.s.deliver(x.s.agent.Ended(now, x.id, coreEnd(end.Ending), produced))
+			x.s.deliver(x.s.agent.Ended(now, x.id, coreEnd(end.Result), produced))
 		}
 		load = x.s.load()
 	})
 	if stopped && !x.entryGone {
 		return false, nil
 	}
-	if end.Ending != upstream.Complete {
+	if end.Result != upstream.Complete {
 		x.s.metrics.Wasted.WithLabelValues(x.offer.GetClass()).Add(float64(x.tokens.Load()))
 		return true, x.fail(&gladegaugev1.Failed{
-			NotRun: end.Ending == upstream.NotTaken, Detail: errorText(end.Err), Load: load, EndedStart: x.crashedInstance(ctx, end),
+			NotRun: end.Result == upstream.NotAccepted, Detail: errorText(end.Err), Load: load, EndedStart: x.crashedInstance(ctx, end),
 		})
 	}
 	ended := &gladegaugev1.End{Length: uint64(end.Length), Tokens: uint32(produced), Load: load}
@@ -91,13 +91,13 @@
 	return err.Error()
 }
 
-func coreEnd(e upstream.Ending) agent.End {
+func coreEnd(e upstream.Result) agent.End {
 	switch e {
 	case upstream.Complete:
 		return agent.Completed
-	case upstream.NotTaken:
+	case upstream.NotAccepted:
 		return agent.NeverRan
-	case upstream.Broken:
+	case upstream.Aborted:
 	}
 	return agent.Interrupted
 }
--- a/internal/edge/agentd/end.go
+++ b/internal/edge/agentd/end.go
@@ -35,12 +35,12 @@
 // during the run. It returns 0 if the upstream still listens, or if the agent itself
 // stopped the run.
 func (x *session) crashedInstance(ctx context.Context, end upstream.End) uint64 {
-	if end.Ending != upstream.Broken || x.stopping || x.retryElsewhere || x.entryGone {
+	if end.Result != upstream.Aborted || x.stopping || x.retryElsewhere || x.entryGone {
 		return 0
 	}
 	ctx, cancel := context.WithTimeout(ctx, suspects.ProbeTimeout)
 	defer cancel()
-	if !x.s.upstream.Refuses(ctx) {
+	if !x.s.upstream.RefusesConnections(ctx) {
 		return 0
 	}
 	var instance uint64
--- a/internal/edge/agentd/session.go
+++ b/internal/edge/agentd/session.go
@@ -66,7 +66,7 @@
 
 // chunk is a chunk of the response, or its end.
 type chunk struct {
-	upstream.Piece
+	upstream.Chunk
 	end *upstream.End
 }
 
@@ -253,16 +253,16 @@
 	x.running = true
 	x.stopping = false
 	call := upstream.Call{
-		Method:  x.run.GetMethod(),
-		Path:    x.run.GetPath(),
-		Headers: x.headers(),
-		Body:    x.run.GetBody(),
-		Resume:  x.offset,
+		Method:       x.run.GetMethod(),
+		Path:         x.run.GetPath(),
+		Headers:      x.headers(),
+		Body:         x.run.GetBody(),
+		ResumeOffset: x.offset,
 	}
 	x.calls.Go(func() error {
-		end := x.s.upstream.Do(ctx, call, func(p upstream.Piece) error {
+		end := x.s.upstream.Do(ctx, call, func(p upstream.Chunk) error {
 			select {
-			case x.chunks <- chunk{Piece: p}:
+			case x.chunks <- chunk{Chunk: p}:
 				return nil
 			case <-ctx.Done():
 				return ctx.Err()
--- a/internal/edge/convert/convert.go
+++ b/internal/edge/convert/convert.go
@@ -28,8 +28,8 @@
 	return msg
 }
 
-// LoadOf returns the load in a message.
-func LoadOf(msg *gladegaugev1.Load) agent.Load {
+// LoadFromMessage returns the load in a message.
+func LoadFromMessage(msg *gladegaugev1.Load) agent.Load {
 	l := agent.Load{
 		FreeSlots: int(msg.GetFreeSlots()),
 		Queued:    int(msg.GetQueued()),
@@ -65,8 +65,8 @@
 	}
 }
 
-// Events reports whether a response is an event stream (server-sent events).
-func Events(h *gladegaugev1.Head) bool {
+// IsEventStream reports whether a response is an event stream (server-sent events).
+func IsEventStream(h *gladegaugev1.Head) bool {
 	for _, header := range h.GetHeaders() {
 		if strings.EqualFold(header.GetName(), "Content-Type") {
 			return strings.HasPrefix(header.GetValue(), "text/event-stream")
--- a/internal/edge/entryd/events.go
+++ b/internal/edge/entryd/events.go
@@ -88,7 +88,7 @@
 	if load == nil {
 		return
 	}
-	x.s.entry.Heard(now, a.agent, convert.LoadOf(load))
+	x.s.entry.Heard(now, a.agent, convert.LoadFromMessage(load))
 	x.s.sync.Heard(load.GetVersion(), a.address)
 }
 
@@ -117,7 +117,7 @@
 		return nil
 	}
 	x.status = int(h.GetStatus())
-	if !convert.Events(h) {
+	if !convert.IsEventStream(h) {
 		x.admitted.MarkNotEventStream()
 	}
 	return x.out.head(h)
--- a/internal/edge/entryd/respond.go
+++ b/internal/edge/entryd/respond.go
@@ -52,7 +52,7 @@
 			out.Add(header.GetName(), header.GetValue())
 		}
 	}
-	o.stream = convert.Events(h)
+	o.stream = convert.IsEventStream(h)
 	return nil
 }
 
@@ -160,7 +160,7 @@
 	for _, header := range h.GetHeaders() {
 		o.headers.Add(header.GetName(), header.GetValue())
 	}
-	o.events = convert.Events(h)
+	o.events = convert.IsEventStream(h)
 	return nil
 }
 
--- a/internal/edge/upstream/upstream.go
+++ b/internal/edge/upstream/upstream.go
@@ -7,7 +7,7 @@
 // # Usage
 //
 //	c := upstream.New(url, httpClient)
-//	end := c.Do(ctx, call, func(p upstream.Piece) error { return forward(p) })
+//	end := c.Do(ctx, call, func(p upstream.Chunk) error { return forward(p) })
 package upstream
 
 import (
@@ -52,12 +52,12 @@
 	Path    string
 	Headers http.Header
 	Body    []byte
-	// Resume is the number of events that the caller has already received.
-	Resume int
+	// ResumeOffset is the number of events that the caller has already received.
+	ResumeOffset int
 }
 
-// Piece is a part of a response. The first one has a Head.
-type Piece struct {
+// Chunk is a part of a response. The first one has a Head.
+type Chunk struct {
 	Head   *Head
 	Offset int
 	// Next is the offset of the following chunk.
@@ -72,9 +72,9 @@
 	Headers http.Header
 }
 
-// Rest returns the backoff that a response with status 503 requests, or 0 if it requests
-// none.
-func (h *Head) Rest() time.Duration {
+// RetryAfter returns the backoff that a response with status 503 requests, or 0 if it
+// requests none.
+func (h *Head) RetryAfter() time.Duration {
 	if h.Status != http.StatusServiceUnavailable {
 		return 0
 	}
@@ -82,22 +82,22 @@
 	return backoff
 }
 
-// Ending is how a call ended.
-type Ending int
+// Result is how a call ended.
+type Result int
 
 // Results of a call.
 const (
 	// Complete means that the whole response was forwarded.
-	Complete Ending = iota + 1
-	// Broken means that the upstream or the caller closed the connection early.
-	Broken
-	// NotTaken means that the upstream certainly did not accept the request.
-	NotTaken
+	Complete Result = iota + 1
+	// Aborted means that the upstream or the caller closed the connection early.
+	Aborted
+	// NotAccepted means that the upstream certainly did not accept the request.
+	NotAccepted
 )
 
 // End is the end of a call. Length is the length of the response in events or bytes.
 type End struct {
-	Ending Ending
+	Result Result
 	Length int
 	Err    error
 }
@@ -114,26 +114,26 @@
 }
 
 // Do sends the request and forwards the chunks of the response.
-func (c *Client) Do(ctx context.Context, call Call, forward func(Piece) error) End {
+func (c *Client) Do(ctx context.Context, call Call, forward func(Chunk) error) End {
 	req, err := http.NewRequestWithContext(ctx, call.Method, c.base+call.Path, oneShotBody{bytes.NewReader(call.Body)})
 	if err != nil {
-		return End{Ending: NotTaken, Err: errors.Wrap(err, "upstream request")}
+		return End{Result: NotAccepted, Err: errors.Wrap(err, "upstream request")}
 	}
 	req.ContentLength = int64(len(call.Body))
 	req.Header = call.Headers.Clone()
-	if call.Resume > 0 {
-		req.Header.Set(ResumeHeader, strconv.Itoa(call.Resume))
+	if call.ResumeOffset > 0 {
+		req.Header.Set(ResumeHeader, strconv.Itoa(call.ResumeOffset))
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return End{Ending: resultOf(err), Err: errors.Wrap(err, "upstream")}
+		return End{Result: resultOf(err), Err: errors.Wrap(err, "upstream")}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	if err := forward(Piece{Head: &Head{Status: resp.StatusCode, Headers: resp.Header}, Offset: call.Resume}); err != nil {
-		return End{Ending: Broken, Length: call.Resume, Err: err}
+	if err := forward(Chunk{Head: &Head{Status: resp.StatusCode, Headers: resp.Header}, Offset: call.ResumeOffset}); err != nil {
+		return End{Result: Aborted, Length: call.ResumeOffset, Err: err}
 	}
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
-		return forwardEvents(resp.Body, call.Resume, forward)
+		return forwardEvents(resp.Body, call.ResumeOffset, forward)
 	}
 	return forwardBytes(resp.Body, forward)
 }
@@ -143,32 +143,32 @@
 type oneShotBody struct{ io.Reader }
 
 // resultOf distinguishes an upstream that was never reached from an interrupted call.
-func resultOf(err error) Ending {
+func resultOf(err error) Result {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return NotTaken
+		return NotAccepted
 	}
-	return Broken
+	return Aborted
 }
 
-func forwardEvents(body io.Reader, offset int, forward func(Piece) error) End {
+func forwardEvents(body io.Reader, offset int, forward func(Chunk) error) End {
 	r := bufio.NewReaderSize(body, readBufferSize)
 	for {
 		event, err := readEvent(r)
 		if err != nil {
-			return End{Ending: Broken, Length: offset, Err: err}
+			return End{Result: Aborted, Length: offset, Err: err}
 		}
 		done := bytes.HasPrefix(event, doneEvent)
-		chunk := Piece{Offset: offset, Next: offset + 1, Data: event, Tokens: 1}
+		chunk := Chunk{Offset: offset, Next: offset + 1, Data: event, Tokens: 1}
 		if done {
 			chunk.Tokens = 0
 		}
 		if err := forward(chunk); err != nil {
-			return End{Ending: Broken, Length: offset, Err: err}
+			return End{Result: Aborted, Length: offset, Err: err}
 		}
 		offset++
 		if done {
-			return End{Ending: Complete, Length: offset}
+			return End{Result: Complete, Length: offset}
 		}
 	}
 }
@@ -194,28 +194,28 @@
 	}
 }
 
-func forwardBytes(body io.Reader, forward func(Piece) error) End {
+func forwardBytes(body io.Reader, forward func(Chunk) error) End {
 	offset := 0
 	buf := make([]byte, readBufferSize)
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
-			if forwardErr := forward(Piece{Offset: offset, Next: offset + n, Data: bytes.Clone(buf[:n])}); forwardErr != nil {
-				return End{Ending: Broken, Length: offset, Err: forwardErr}
+			if forwardErr := forward(Chunk{Offset: offset, Next: offset + n, Data: bytes.Clone(buf[:n])}); forwardErr != nil {
+				return End{Result: Aborted, Length: offset, Err: forwardErr}
 			}
 			offset += n
 		}
 		if errors.Is(err, io.EOF) {
-			return End{Ending: Complete, Length: offset}
+			return End{Result: Complete, Length: offset}
 		}
 		if err != nil {
-			return End{Ending: Broken, Length: offset, Err: errors.Wrap(err, "response interrupted")}
+			return End{Result: Aborted, Length: offset, Err: errors.Wrap(err, "response interrupted")}
 		}
 	}
 }
 
-// Refuses reports whether nothing listens at the upstream's address any more.
-func (c *Client) Refuses(ctx context.Context) bool {
+// RefusesConnections reports whether nothing listens at the upstream's address any more.
+func (c *Client) RefusesConnections(ctx context.Context) bool {
 	_, err := c.healthStatus(ctx)
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
--- a/internal/edge/upstream/upstream_test.go
+++ b/internal/edge/upstream/upstream_test.go
@@ -21,7 +21,7 @@
 		call.Headers = make(http.Header)
 	}
 	var text bytes.Buffer
-	end := New(server.URL, server.Client()).Do(context.Background(), call, func(p Piece) error {
+	end := New(server.URL, server.Client()).Do(context.Background(), call, func(p Chunk) error {
 		text.Write(p.Data)
 		return nil
 	})
@@ -33,7 +33,7 @@
 	tests := []struct {
 		name   string
 		answer http.HandlerFunc
-		result Ending
+		result Result
 		length int
 	}{
 		{"whole stream", func(w http.ResponseWriter, _ *http.Request) {
@@ -43,25 +43,25 @@
 		{"stream without its end", func(w http.ResponseWriter, _ *http.Request) {
 			events(w)
 			_, _ = w.Write([]byte("data: a\n\ndata: b\n\n"))
-		}, Broken, 2},
+		}, Aborted, 2},
 		{"stream cut inside an event", func(w http.ResponseWriter, _ *http.Request) {
 			events(w)
 			_, _ = w.Write([]byte("data: a\n\ndata: b"))
-		}, Broken, 1},
+		}, Aborted, 1},
 		{"whole body", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("hello")) }, Complete, 5},
 		{"body cut", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "9")
 			_, _ = w.Write([]byte("hello"))
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
-		}, Broken, 5},
-		{"no answer", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, Broken, 0},
+		}, Aborted, 5},
+		{"no answer", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, Aborted, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			_, end := collectResponse(t, tt.answer, Call{Method: "POST", Path: "/"})
-			is.Equal(end.Ending, tt.result)
+			is.Equal(end.Result, tt.result)
 			is.Equal(end.Length, tt.length)
 		})
 	}
@@ -70,7 +70,7 @@
 func TestNeverReached(t *testing.T) {
 	is := is.New(t)
 	end := New("http://127.0.0.1:1", http.DefaultClient).Do(context.Background(), Call{Method: "POST", Path: "/", Headers: make(http.Header)}, nil)
-	is.Equal(end.Ending, NotTaken)
+	is.Equal(end.Result, NotAccepted)
 }
 
 // TestSentOnce breaks a kept-alive connection after it accepted a request. The HTTP
@@ -89,11 +89,11 @@
 			defer server.Close()
 			c := New(server.URL, server.Client())
 			headers := http.Header{"Idempotency-Key": {"k"}}
-			forward := func(Piece) error { return nil }
+			forward := func(Chunk) error { return nil }
 			first := c.Do(context.Background(), Call{Method: method, Path: "/", Headers: headers}, forward)
-			is.Equal(first.Ending, Complete)
+			is.Equal(first.Result, Complete)
 			second := c.Do(context.Background(), Call{Method: method, Path: "/", Headers: headers}, forward)
-			is.Equal(second.Ending, Broken)
+			is.Equal(second.Result, Aborted)
 			is.Equal(calls.Load(), int32(2))
 		})
 	}
