--- a/cmd/gladegauge-standin/main.go
+++ b/cmd/gladegauge-standin/main.go
@@ -39,7 +39,7 @@
 // serve listens until the process is told to stop.
 func serve(ctx context.Context, name, listen string, h http.Handler) int {
 	log := logging.New(os.Stderr, "info", "gladegauge-standin", name)
-	plain := &rpc.Keys{Plain: true}
+	plain := &rpc.Keys{Plaintext: true}
 	s, err := plain.Server(h)
 	if err != nil {
 		return program.ExitFailure
--- a/internal/edge/agentd/server.go
+++ b/internal/edge/agentd/server.go
@@ -85,7 +85,7 @@
 		startedAt:   now(),
 		sessions:    make(map[string]*session),
 	}
-	s.o.Keys.Expiry = func(t time.Time) { s.metrics.CertExpiry.Set(float64(t.Unix())) }
+	s.o.Keys.OnLoad = func(t time.Time) { s.metrics.CertExpiry.Set(float64(t.Unix())) }
 	client, err := s.o.Keys.Client()
 	if err != nil {
 		return nil, err
@@ -162,12 +162,12 @@
 // handler routes the calls of other processes and of operators.
 func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
-	path, h := gladegaugev1connect.NewAgentServiceHandler(s, rpc.SmallMessages)
-	mux.Handle(path, s.o.Keys.Only(h, rpc.RoleEntry))
-	path, h = gladegaugev1connect.NewPeerServiceHandler(s.sync, rpc.SmallMessages)
-	mux.Handle(path, s.o.Keys.Only(h, rpc.RoleEntry, rpc.RoleAgent))
+	path, h := gladegaugev1connect.NewAgentServiceHandler(s, rpc.CompressLargeOnly)
+	mux.Handle(path, s.o.Keys.RequireRole(h, rpc.RoleEntry))
+	path, h = gladegaugev1connect.NewPeerServiceHandler(s.sync, rpc.CompressLargeOnly)
+	mux.Handle(path, s.o.Keys.RequireRole(h, rpc.RoleEntry, rpc.RoleAgent))
 	path, h = gladegaugev1connect.NewOperatorServiceHandler(&operatorService{s: s})
-	mux.Handle(path, s.o.Keys.Only(h, rpc.RoleOperator))
+	mux.Handle(path, s.o.Keys.RequireRole(h, rpc.RoleOperator))
 	return mux
 }
 
--- a/internal/edge/ctl/ctl.go
+++ b/internal/edge/ctl/ctl.go
@@ -37,7 +37,7 @@
 	s.String(&c.keys.Cert, "tls-cert", "", "certificate file of the operator", settings.File)
 	s.String(&c.keys.Key, "tls-key", "", "private key file of the operator", settings.File)
 	s.String(&c.keys.CA, "tls-ca", "", "file of the authorities of the processes' certificates", settings.File)
-	s.Bool(&c.keys.Plain, "insecure-plaintext", false, "call without TLS")
+	s.Bool(&c.keys.Plaintext, "insecure-plaintext", false, "call without TLS")
 }
 
 // printf writes to the output of a command.
--- a/internal/edge/ctl/operate.go
+++ b/internal/edge/ctl/operate.go
@@ -26,7 +26,7 @@
 	if c.processes == "" {
 		f.Add("-processes", "must be set")
 	}
-	if !c.keys.Plain && (c.keys.Cert == "" || c.keys.Key == "" || c.keys.CA == "") {
+	if !c.keys.Plaintext && (c.keys.Cert == "" || c.keys.Key == "" || c.keys.CA == "") {
 		f.Add("-tls-cert", "-tls-cert, -tls-key and -tls-ca must be set, unless -insecure-plaintext is")
 	}
 	return f
--- a/internal/edge/entryd/server.go
+++ b/internal/edge/entryd/server.go
@@ -94,7 +94,7 @@
 		members: member.NewSet(),
 		burn:    burn.NewLedger(),
 	}
-	o.Keys.Expiry = func(t time.Time) { s.metrics.CertExpiry.Set(float64(t.Unix())) }
+	o.Keys.OnLoad = func(t time.Time) { s.metrics.CertExpiry.Set(float64(t.Unix())) }
 	client, err := o.Keys.Client()
 	if err != nil {
 		return nil, err
@@ -189,10 +189,10 @@
 
 func (s *Server) rpcHandler() http.Handler {
 	mux := http.NewServeMux()
-	path, h := gladegaugev1connect.NewPeerServiceHandler(s.sync, rpc.SmallMessages)
-	mux.Handle(path, s.o.Keys.Only(h, rpc.RoleEntry, rpc.RoleAgent))
+	path, h := gladegaugev1connect.NewPeerServiceHandler(s.sync, rpc.CompressLargeOnly)
+	mux.Handle(path, s.o.Keys.RequireRole(h, rpc.RoleEntry, rpc.RoleAgent))
 	path, h = gladegaugev1connect.NewOperatorServiceHandler(&operatorService{s: s})
-	mux.Handle(path, s.o.Keys.Only(h, rpc.RoleOperator))
+	mux.Handle(path, s.o.Keys.RequireRole(h, rpc.RoleOperator))
 	return mux
 }
 
--- a/internal/edge/program/program.go
+++ b/internal/edge/program/program.go
@@ -63,7 +63,7 @@
 	s.String(&c.Keys.Cert, "tls-cert", "", "certificate file of this process", settings.File)
 	s.String(&c.Keys.Key, "tls-key", "", "private key file of this process", settings.File)
 	s.String(&c.Keys.CA, "tls-ca", "", "file of the authorities that other processes' certificates must come from", settings.File)
-	s.Bool(&c.Keys.Plain, "insecure-plaintext", false, "talk to the other processes without TLS")
+	s.Bool(&c.Keys.Plaintext, "insecure-plaintext", false, "talk to the other processes without TLS")
 }
 
 func addresses(value string) string {
@@ -86,7 +86,7 @@
 // Faults returns the faults of settings that depend on one another.
 func (c *Common) Faults() config.Faults {
 	var f config.Faults
-	if c.Keys.Plain {
+	if c.Keys.Plaintext {
 		return f
 	}
 	const problem = "must be set, unless -insecure-plaintext is"
@@ -193,7 +193,7 @@
 	if err != nil {
 		return err
 	}
-	plain := &rpc.Keys{Plain: true}
+	plain := &rpc.Keys{Plaintext: true}
 	opsServer, err := plain.Server(operators)
 	if err != nil {
 		return err
--- a/internal/edge/rpc/keys.go
+++ b/internal/edge/rpc/keys.go
@@ -23,14 +23,14 @@
 const reloadInterval = 2 * time.Second
 
 // Keys are the credentials of a process, read from files. The zero value is only usable
-// with Plain set.
+// with Plaintext set.
 type Keys struct {
-	Cert  string
-	Key   string
-	CA    string
-	Plain bool
-	// Expiry, if set, is called with the expiry time of each certificate that is loaded.
-	Expiry func(time.Time)
+	Cert      string
+	Key       string
+	CA        string
+	Plaintext bool
+	// OnLoad, if set, is called with the expiry time of each certificate that is loaded.
+	OnLoad func(time.Time)
 
 	mu        sync.Mutex
 	current   *tls.Certificate
@@ -89,8 +89,8 @@
 	}
 	k.current = &cert
 	k.roots = roots
-	if k.Expiry != nil && cert.Leaf != nil {
-		k.Expiry(cert.Leaf.NotAfter)
+	if k.OnLoad != nil && cert.Leaf != nil {
+		k.OnLoad(cert.Leaf.NotAfter)
 	}
 	return nil
 }
@@ -153,10 +153,10 @@
 	return errors.Wrap(err, "verify server")
 }
 
-// Only rejects callers whose certificate has none of the roles. In plaintext, it accepts
-// every caller.
-func (k *Keys) Only(h http.Handler, roles ...string) http.Handler {
-	if k.Plain {
+// RequireRole rejects callers whose certificate has none of the roles. In plaintext, it
+// accepts every caller.
+func (k *Keys) RequireRole(h http.Handler, roles ...string) http.Handler {
+	if k.Plaintext {
 		return h
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/edge/rpc/rpc.go
+++ b/internal/edge/rpc/rpc.go
@@ -40,8 +40,8 @@
 // costs far more CPU time than the saved bytes are worth.
 const minCompressBytes = 4 << 10
 
-// SmallMessages is an option of a service that leaves small messages uncompressed.
-var SmallMessages = connect.WithCompressMinBytes(minCompressBytes)
+// CompressLargeOnly is an option of a service that leaves small messages uncompressed.
+var CompressLargeOnly = connect.WithCompressMinBytes(minCompressBytes)
 
 // FastCompression is an option of a service that compresses large messages with minimal
 // CPU time and memory. The messages that a relay sends to its availability zone many
@@ -66,7 +66,7 @@
 	return p
 }
 
-// Server returns a server for the handler, with mutual TLS unless Plain is set.
+// Server returns a server for the handler, with mutual TLS unless Plaintext is set.
 func (k *Keys) Server(h http.Handler) (*http.Server, error) {
 	s := &http.Server{
 		Handler:           h,
@@ -81,7 +81,7 @@
 			PingTimeout:          pingTimeout,
 		},
 	}
-	if k.Plain {
+	if k.Plaintext {
 		return s, nil
 	}
 	cfg, err := k.serverTLS()
@@ -95,7 +95,7 @@
 // Serve accepts connections until the server is shut down.
 func (k *Keys) Serve(s *http.Server, l net.Listener) error {
 	var err error
-	if k.Plain {
+	if k.Plaintext {
 		err = s.Serve(l)
 	} else {
 		err = s.ServeTLS(l, "", "")
@@ -116,7 +116,7 @@
 func (k *Keys) Client() (*http.Client, error) {
 	p := new(http.Protocols)
 	p.SetHTTP2(true)
-	p.SetUnencryptedHTTP2(k.Plain)
+	p.SetUnencryptedHTTP2(k.Plaintext)
 	t := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		Protocols:           p,
@@ -127,7 +127,7 @@
 			PingTimeout:     pingTimeout,
 		},
 	}
-	if !k.Plain {
+	if !k.Plaintext {
 		cfg, err := k.clientTLS()
 		if err != nil {
 			return nil, err
@@ -139,7 +139,7 @@
 
 // URL returns the base URL of a process.
 func (k *Keys) URL(address string) string {
-	if k.Plain {
+	if k.Plaintext {
 		return "http://" + address
 	}
 	return "https://" + address
