--- a/internal/edge/agentd/answer.go
+++ b/internal/edge/agentd/answer.go
@@ -40,7 +40,7 @@
 		x.cancelRun()
 		return nil
 	}
-	x.s.loop.Must(func(time.Time) { x.s.crashes.recordResponse() })
+	x.s.loop.DoWithoutCancel(func(time.Time) { x.s.crashes.recordResponse() })
 	head := &gladegaugev1.Head{Status: uint32(h.Status)}
 	for name, values := range h.Headers {
 		for _, v := range values {
@@ -63,7 +63,7 @@
 	// A body that is not an event stream cannot be resumed once part of it was sent.
 	partialBody := x.notEventStream && x.offset > 0
 	stopped := x.stopping && end.Result != upstream.Complete && !partialBody
-	x.s.loop.Must(func(now time.Time) {
+	x.s.loop.DoWithoutCancel(func(now time.Time) {
 		if stopped {
 			x.s.deliver(x.s.agent.Stopped(now, x.id, produced))
 		} else {
@@ -120,7 +120,7 @@
 		RetryAfterMs: convert.Milliseconds(e.RetryAfter),
 		Incarnation:  x.s.incarnation,
 	}
-	x.s.loop.Must(func(time.Time) { refused.Load = x.s.load() })
+	x.s.loop.DoWithoutCancel(func(time.Time) { refused.Load = x.s.load() })
 	return x.send(&gladegaugev1.AttemptEvent{Event: &gladegaugev1.AttemptEvent_Refused{Refused: refused}})
 }
 
--- a/internal/edge/agentd/end.go
+++ b/internal/edge/agentd/end.go
@@ -44,7 +44,7 @@
 		return 0
 	}
 	var instance uint64
-	x.s.loop.Must(func(time.Time) {
+	x.s.loop.DoWithoutCancel(func(time.Time) {
 		x.s.crashes.recordCrash()
 		instance = rendezvous.Mix(xxhash.Sum64String(x.s.incarnation), x.s.crashes.n)
 	})
--- a/internal/edge/agentd/orders.go
+++ b/internal/edge/agentd/orders.go
@@ -48,7 +48,7 @@
 func (s *Server) plan() (plan, bool) {
 	var p plan
 	ok := false
-	s.loop.Must(func(now time.Time) {
+	s.loop.DoWithoutCancel(func(now time.Time) {
 		cfg := s.sync.Config()
 		if cfg == nil || s.leaving.Load() {
 			return
--- a/internal/edge/agentd/server.go
+++ b/internal/edge/agentd/server.go
@@ -238,7 +238,7 @@
 func (s *Server) drain(ctx context.Context) error {
 	s.leaving.Store(true)
 	s.metrics.Leaving.Set(1)
-	s.loop.Must(func(now time.Time) {
+	s.loop.DoWithoutCancel(func(now time.Time) {
 		if s.agent != nil {
 			s.deliver(s.agent.Drain(now))
 		}
@@ -248,7 +248,7 @@
 
 func (s *Server) inProgress() int {
 	n := 0
-	s.loop.Must(func(time.Time) { n = len(s.sessions) })
+	s.loop.DoWithoutCancel(func(time.Time) { n = len(s.sessions) })
 	return n
 }
 
@@ -263,7 +263,7 @@
 		failures++
 		if healthy {
 			failures = 0
-			s.loop.Must(func(time.Time) { s.crashes.recordResponse() })
+			s.loop.DoWithoutCancel(func(time.Time) { s.crashes.recordResponse() })
 		}
 		if next := failures >= probeFailureThreshold; next != down && (next || healthy) {
 			down = next
@@ -276,7 +276,7 @@
 // backoff starts a backoff of the duration that the upstream requested.
 func (s *Server) backoff(d time.Duration) {
 	s.o.Log.Warn().Dur("rest", d).Msg("upstream requested a backoff")
-	s.loop.Must(func(now time.Time) { s.deliver(s.agent.Rest(now, d)) })
+	s.loop.DoWithoutCancel(func(now time.Time) { s.deliver(s.agent.Rest(now, d)) })
 }
 
 func (s *Server) setDown(down bool) {
@@ -286,7 +286,7 @@
 		value = 1
 	}
 	s.metrics.UpstreamDown.Set(value)
-	s.loop.Must(func(now time.Time) {
+	s.loop.DoWithoutCancel(func(now time.Time) {
 		if s.agent != nil {
 			s.deliver(s.agent.SetDown(now, down))
 		}
--- a/internal/edge/agentd/session.go
+++ b/internal/edge/agentd/session.go
@@ -108,7 +108,7 @@
 			return
 		}
 		if recount := cmd.GetRecount(); recount != nil {
-			x.s.loop.Must(func(time.Time) { x.s.agent.Recount(x.id, int(recount.GetCopies())) })
+			x.s.loop.DoWithoutCancel(func(time.Time) { x.s.agent.Recount(x.id, int(recount.GetCopies())) })
 		}
 		if cmd.GetRun() == nil {
 			continue
@@ -164,7 +164,7 @@
 func (x *session) open() (bool, error) {
 	var accepted *gladegaugev1.Accepted
 	known := false
-	ok := x.s.loop.Must(func(now time.Time) {
+	ok := x.s.loop.DoWithoutCancel(func(now time.Time) {
 		if x.s.agent == nil {
 			return
 		}
@@ -208,14 +208,14 @@
 }
 
 func (x *session) unregister() {
-	x.s.loop.Must(func(time.Time) { delete(x.s.sessions, x.id) })
+	x.s.loop.DoWithoutCancel(func(time.Time) { delete(x.s.sessions, x.id) })
 }
 
 // claim asks the agent to start the attempt.
 func (x *session) claim(run *gladegaugev1.Run) {
 	x.run = run
 	x.offset = int(run.GetResumeOffset())
-	x.s.loop.Must(func(now time.Time) { x.s.deliver(x.s.agent.Claim(now, x.id, run.GetIncarnation())) })
+	x.s.loop.DoWithoutCancel(func(now time.Time) { x.s.deliver(x.s.agent.Claim(now, x.id, run.GetIncarnation())) })
 }
 
 // withdraw withdraws the attempt after the entry has disconnected. It returns true if no
@@ -223,7 +223,7 @@
 func (x *session) withdraw() bool {
 	if !x.entryGone {
 		x.entryGone = true
-		x.s.loop.Must(func(now time.Time) { x.s.deliver(x.s.agent.Withdraw(now, x.id)) })
+		x.s.loop.DoWithoutCancel(func(now time.Time) { x.s.deliver(x.s.agent.Withdraw(now, x.id)) })
 	}
 	return !x.running
 }
--- a/internal/edge/entryd/call.go
+++ b/internal/edge/entryd/call.go
@@ -75,7 +75,7 @@
 func (x *call) serve(ctx context.Context) error {
 	var effects []dispatch.Effect
 	var refusal *problem
-	x.s.loop.Must(func(now time.Time) {
+	x.s.loop.DoWithoutCancel(func(now time.Time) {
 		x.arrivedAt = now
 		effects, refusal = x.admit(now)
 	})
@@ -159,7 +159,7 @@
 
 func (x *call) tick() []dispatch.Effect {
 	var effects []dispatch.Effect
-	x.s.loop.Must(func(now time.Time) {
+	x.s.loop.DoWithoutCancel(func(now time.Time) {
 		effects = x.admitted.Tick(now)
 		for n, a := range x.attempts {
 			if !a.settled && now.Sub(a.offeredAt) > offerTimeout {
--- a/internal/edge/entryd/events.go
+++ b/internal/edge/entryd/events.go
@@ -29,7 +29,7 @@
 // already.
 func (x *call) onStreamClosed(n int, a *attempt) []dispatch.Effect {
 	var effects []dispatch.Effect
-	x.s.loop.Must(func(now time.Time) {
+	x.s.loop.DoWithoutCancel(func(now time.Time) {
 		effects = x.attemptLost(now, n, a, false)
 		x.settle(now, a, false)
 	})
@@ -50,7 +50,7 @@
 // onStateChange handles an event that changes the state of the request.
 func (x *call) onStateChange(n int, a *attempt, event *gladegaugev1.AttemptEvent) []dispatch.Effect {
 	var effects []dispatch.Effect
-	x.s.loop.Must(func(now time.Time) {
+	x.s.loop.DoWithoutCancel(func(now time.Time) {
 		x.settle(now, a, false)
 		x.recordLoad(now, a, event)
 		switch ev := event.GetEvent().(type) {
--- a/internal/edge/entryd/handler.go
+++ b/internal/edge/entryd/handler.go
@@ -182,7 +182,7 @@
 		}
 	}
 	var host member.Host
-	s.loop.Must(func(time.Time) { host, ok = s.entry.Table().Host(id) })
+	s.loop.DoWithoutCancel(func(time.Time) { host, ok = s.entry.Table().Host(id) })
 	if !ok {
 		return member.Host{}, "", &problem{
 			status: http.StatusBadGateway, code: CodeOutcomeUnknown, param: IdempotencyKeyHeader, outcomeUnknown: true,
--- a/internal/edge/entryd/outcome.go
+++ b/internal/edge/entryd/outcome.go
@@ -56,7 +56,7 @@
 		// microseconds.
 		x.fingerprint()
 	}
-	x.s.loop.Must(func(now time.Time) {
+	x.s.loop.DoWithoutCancel(func(now time.Time) {
 		x.recordFinished(now)
 		x.updateSuspects(now)
 		if !blocked {
--- a/internal/edge/entryd/service.go
+++ b/internal/edge/entryd/service.go
@@ -75,7 +75,7 @@
 // issueKeyAtAgent requests an idempotency key from an agent of the pool.
 func (s *Server) issueKeyAtAgent(c echo.Context, call entry.Call) error {
 	var agents []member.Host
-	s.loop.Must(func(now time.Time) {
+	s.loop.DoWithoutCancel(func(now time.Time) {
 		agents = s.entry.Table().Pick(now, route.Request{Pool: call.Pool.Name, Tier: call.Class.Tier}, 2)
 		for _, h := range agents {
 			s.entry.Settled(h.ID)
--- a/internal/edge/gatewayd/apply.go
+++ b/internal/edge/gatewayd/apply.go
@@ -147,6 +147,6 @@
 		s.lapseTimer = nil
 	}
 	if end, ok := s.roster.NextExpiry(); ok {
-		s.lapseTimer = time.AfterFunc(end.Sub(now), func() { s.control.Must(s.applyRoster) })
+		s.lapseTimer = time.AfterFunc(end.Sub(now), func() { s.control.DoWithoutCancel(s.applyRoster) })
 	}
 }
--- a/internal/edge/gatewayd/attempt.go
+++ b/internal/edge/gatewayd/attempt.go
@@ -66,7 +66,7 @@
 
 // giveBack takes back a choice that nothing was sent to.
 func (x *request) giveBack(choice balance.Choice) {
-	x.server.control.Must(func(now time.Time) {
+	x.server.control.DoWithoutCancel(func(now time.Time) {
 		x.server.table.Ended(now, choice, balance.Abandoned, balance.Answer{})
 	})
 }
@@ -90,7 +90,7 @@
 		// Not in the control goroutine: it takes some microseconds.
 		x.printed()
 	}
-	x.server.control.Must(func(now time.Time) {
+	x.server.control.DoWithoutCancel(func(now time.Time) {
 		if o == balance.Dead || o == balance.Replaced {
 			x.server.foundEnded(now, choice.Instance, o)
 		}
@@ -108,7 +108,7 @@
 func (x *request) answerBegan(a answer) {
 	x.patience.answerBegan()
 	x.loadTold = true
-	x.server.control.Must(func(now time.Time) {
+	x.server.control.DoWithoutCancel(func(now time.Time) {
 		x.server.table.Began(now, a.choice)
 		if a.head.Load != nil {
 			x.server.table.Reported(now, a.choice.ID, *a.head.Load)
--- a/internal/edge/gatewayd/busy_test.go
+++ b/internal/edge/gatewayd/busy_test.go
@@ -42,7 +42,7 @@
 	})
 	w.await(func() bool { return len(w.ran()) == 1 })
 	sent := time.Now()
-	w.server.control.Must(func(now time.Time) {
+	w.server.control.DoWithoutCancel(func(now time.Time) {
 		w.server.table.OthersHave(now, balance.Picture{
 			Loads: occupancy.Loads{xxhash.Sum64String("i-a"): {Unread: 1_000_000}},
 			Keep:  time.Minute, Gateways: 3,
--- a/internal/edge/gatewayd/crash_test.go
+++ b/internal/edge/gatewayd/crash_test.go
@@ -163,7 +163,7 @@
 	w.call("/chat/1")
 	is.True(w.server.suspects.Any())
 	verdict := func() (v suspect.Verdict) {
-		w.server.control.Must(func(now time.Time) {
+		w.server.control.DoWithoutCancel(func(now time.Time) {
 			for p := range w.server.suspects.Prints() {
 				v = w.server.suspects.Check(now, p)
 			}
--- a/internal/edge/gatewayd/evacuation_test.go
+++ b/internal/edge/gatewayd/evacuation_test.go
@@ -117,7 +117,7 @@
 // openIn counts the upstreams of the availability zone that may get requests.
 func (w *world) openIn(zone string) int {
 	n := 0
-	w.server.control.Must(func(now time.Time) {
+	w.server.control.DoWithoutCancel(func(now time.Time) {
 		for _, in := range w.server.roster.Current(now) {
 			if in.Zone == zone && !in.Leaving && !in.Evacuated {
 				n++
@@ -168,7 +168,7 @@
 	second := startPeer(t, w.store, first.PeersAddress())
 	open := func(g *testPeer, zone string) bool {
 		found := false
-		g.control.Must(func(now time.Time) {
+		g.control.DoWithoutCancel(func(now time.Time) {
 			for _, in := range g.roster.Current(now) {
 				found = found || (in.Zone == zone && !in.Evacuated)
 			}
--- a/internal/edge/gatewayd/failure_test.go
+++ b/internal/edge/gatewayd/failure_test.go
@@ -55,7 +55,7 @@
 // goneCount is the number of upstreams that the gateway tells to be gone.
 func goneCount(s *Server) int {
 	n := 0
-	s.control.Must(func(now time.Time) {
+	s.control.DoWithoutCancel(func(now time.Time) {
 		for _, l := range s.table.Loads(now) {
 			n += l.Gone
 		}
--- a/internal/edge/gatewayd/feed.go
+++ b/internal/edge/gatewayd/feed.go
@@ -31,7 +31,7 @@
 		var resp *gladegaugev1.FollowResponse
 		var changed <-chan struct{}
 		var tell bool
-		if !s.control.Must(func(now time.Time) {
+		if !s.control.DoWithoutCancel(func(now time.Time) {
 			resp, changed = s.news(now, began, known)
 			tell = resp != nil && s.worthTelling(began, req.Msg, resp)
 		}) || resp == nil {
@@ -44,7 +44,7 @@
 		case <-changed:
 		case <-timeout.C:
 			// The proof of the age is as new as it can be.
-			s.control.Must(func(now time.Time) { resp, _ = s.news(now, began, known) })
+			s.control.DoWithoutCancel(func(now time.Time) { resp, _ = s.news(now, began, known) })
 			return connect.NewResponse(resp), nil
 		case <-ctx.Done():
 			return nil, connect.NewError(connect.CodeCanceled, ctx.Err())
--- a/internal/edge/gatewayd/follow.go
+++ b/internal/edge/gatewayd/follow.go
@@ -68,7 +68,7 @@
 // next returns what to ask next.
 func (f *follower) next() reader.Query {
 	var q reader.Query
-	f.server.control.Must(func(now time.Time) {
+	f.server.control.DoWithoutCancel(func(now time.Time) {
 		v, b := f.view(now), f.server.readerBounds()
 		if f.lateSince.IsZero() && b.IsStale(v) {
 			f.lateSince = now
@@ -95,7 +95,7 @@
 // late reports whether what is known is too old to wait for others.
 func (f *follower) late() bool {
 	var late bool
-	f.server.control.Must(func(now time.Time) { late = f.server.readerBounds().IsStale(f.view(now)) })
+	f.server.control.DoWithoutCancel(func(now time.Time) { late = f.server.readerBounds().IsStale(f.view(now)) })
 	return late
 }
 
@@ -143,7 +143,7 @@
 	f.position = all.Position
 	f.reader.Listed()
 	f.server.report(all.Faults)
-	f.server.control.Must(func(now time.Time) {
+	f.server.control.DoWithoutCancel(func(now time.Time) {
 		f.server.takeWhole(now, all.Position, all)
 		f.server.settleByList(all)
 		f.server.applyTable(all.Table, !all.ConfigFaulty(), asked, fromStore)
@@ -190,7 +190,7 @@
 func (f *follower) take(c platform.Changes, proof time.Time) {
 	f.position = c.Position
 	f.server.report(c.Faults)
-	f.server.control.Must(func(now time.Time) {
+	f.server.control.DoWithoutCancel(func(now time.Time) {
 		if len(c.Entries) > 0 {
 			f.server.feedFrom(c.Position, c.Entries, false)
 		}
@@ -209,7 +209,7 @@
 		return
 	}
 	var leaves time.Duration
-	f.server.control.Must(func(now time.Time) {
+	f.server.control.DoWithoutCancel(func(now time.Time) {
 		f.server.storeFailed(now)
 		leaves = f.server.fleet.Backoff(now)
 	})
@@ -230,12 +230,12 @@
 // succeeded notes an answer. After an outage upstreams need a moment to renew
 // their entries.
 func (f *follower) succeeded() {
-	f.server.control.Must(f.server.storeAnswered)
+	f.server.control.DoWithoutCancel(f.server.storeAnswered)
 	loss := f.reader.StoreAnswered(f.server.now())
 	if loss.Lost {
 		f.server.log.Info().Dur("after", loss.After).Msg("store: regained")
 	}
 	if loss.Outage {
-		f.server.control.Must(func(time.Time) { f.server.roster.Recovered(loss.FailedAt) })
+		f.server.control.DoWithoutCancel(func(time.Time) { f.server.roster.Recovered(loss.FailedAt) })
 	}
 }
--- a/internal/edge/gatewayd/lend.go
+++ b/internal/edge/gatewayd/lend.go
@@ -20,7 +20,7 @@
 func (x *request) borrow() (balance.Choice, bool) {
 	s := x.server
 	var loans []balance.Loan
-	s.control.Must(func(now time.Time) { loans = s.table.Borrowable(now, x.wants()) })
+	s.control.DoWithoutCancel(func(now time.Time) { loans = s.table.Borrowable(now, x.wants()) })
 	for _, l := range loans {
 		if x.left() <= borrowTimeout {
 			break
@@ -35,7 +35,7 @@
 		}
 		var choice balance.Choice
 		var ok bool
-		s.control.Must(func(now time.Time) { choice, ok = s.table.PickLent(now, x.wants(), l.Instance) })
+		s.control.DoWithoutCancel(func(now time.Time) { choice, ok = s.table.PickLent(now, x.wants(), l.Instance) })
 		if ok {
 			return choice, true
 		}
@@ -49,7 +49,7 @@
 	var holder string
 	var ok bool
 	//nolint:gosec // Any holder will do.
-	s.control.Must(func(now time.Time) { holder, ok = s.fleet.Holder(now, l.Key, l.Holders, rand.Uint64()) })
+	s.control.DoWithoutCancel(func(now time.Time) { holder, ok = s.fleet.Holder(now, l.Key, l.Holders, rand.Uint64()) })
 	if !ok {
 		return false, nil
 	}
@@ -63,7 +63,7 @@
 	}
 	if !resp.Msg.GetGranted() {
 		wait := time.Duration(resp.Msg.GetWaitMs()) * time.Millisecond
-		s.control.Must(func(now time.Time) { s.table.NotLent(now, l.Instance, wait) })
+		s.control.DoWithoutCancel(func(now time.Time) { s.table.NotLent(now, l.Instance, wait) })
 	}
 	return resp.Msg.GetGranted(), nil
 }
@@ -71,7 +71,7 @@
 // BorrowTurn lends a turn of a limited upstream, if this gateway has one.
 func (s *Server) BorrowTurn(_ context.Context, req *connect.Request[gladegaugev1.BorrowTurnRequest]) (*connect.Response[gladegaugev1.BorrowTurnResponse], error) {
 	resp := &gladegaugev1.BorrowTurnResponse{}
-	s.control.Must(func(now time.Time) {
+	s.control.DoWithoutCancel(func(now time.Time) {
 		wait, ok := s.table.Lend(now, req.Msg.GetUpstream(), req.Msg.GetLeast())
 		resp.Granted = ok
 		resp.WaitMs = count32(int(wait.Milliseconds()))
--- a/internal/edge/gatewayd/limit_test.go
+++ b/internal/edge/gatewayd/limit_test.go
@@ -108,7 +108,7 @@
 	limited := w.replicas[0]
 	closed := make(notice.Closed)
 	state := notice.State{}.With(time.Now(), notice.Notice{Limit: notice.Limit{Announced: true, PerSecond: 1}})
-	w.server.control.Must(func(now time.Time) {
+	w.server.control.DoWithoutCancel(func(now time.Time) {
 		for _, in := range w.server.roster.Current(now) {
 			if in.ID == limited.ID {
 				closed[in.Start()] = state
@@ -135,7 +135,7 @@
 	second := startPeer(t, w.store, first.PeersAddress())
 	limited := func(g *testPeer) int {
 		n := 0
-		g.control.Must(func(time.Time) { n = g.table.LimitedUpstreams() })
+		g.control.DoWithoutCancel(func(time.Time) { n = g.table.LimitedUpstreams() })
 		return n
 	}
 	w.await(func() bool {
@@ -164,13 +164,13 @@
 		return n == 2 && m == 2 && first.version() == 1 && second.version() == 1
 	})
 	// The second one has just started, and holds nothing for a while.
-	second.control.Must(func(now time.Time) {
+	second.control.DoWithoutCancel(func(now time.Time) {
 		for _, in := range second.roster.Current(now) {
 			second.table.Notice(now, in, notice.Notice{Limit: notice.Limit{Announced: true, PerSecond: 1000}, SentAt: now})
 		}
 		second.table.SetColdLimits(balance.ColdLimits{}, func(time.Time, uint64, int) bool { return false })
 	})
-	first.control.Must(func(now time.Time) {
+	first.control.DoWithoutCancel(func(now time.Time) {
 		for _, in := range first.roster.Current(now) {
 			first.table.Notice(now, in, notice.Notice{Limit: notice.Limit{Announced: true, PerSecond: 1000}, SentAt: now})
 		}
@@ -193,14 +193,14 @@
 		}
 		w.server.takeOthers(now, true)
 	}
-	w.server.control.Must(func(now time.Time) {
+	w.server.control.DoWithoutCancel(func(now time.Time) {
 		in := w.server.roster.Current(now)[0]
 		w.server.table.Notice(now, in, notice.Notice{Limit: notice.Limit{Announced: true}, SentAt: now})
 		w.server.publishClosed(now)
 	})
 	is.Equal(w.call("/write/1").Status, 503)
 	tell := func() {
-		w.server.control.Must(func(now time.Time) { free(now, w.server.roster.Current(now)[0].Start()) })
+		w.server.control.DoWithoutCancel(func(now time.Time) { free(now, w.server.roster.Current(now)[0].Start()) })
 	}
 	for range 4 {
 		w.suspend(2 * time.Second)
--- a/internal/edge/gatewayd/loads.go
+++ b/internal/edge/gatewayd/loads.go
@@ -29,7 +29,7 @@
 	for loop.Pause(ctx, pause) {
 		var duty fleet.AggregationRole
 		var pace occupancy.Intervals
-		s.control.Must(func(now time.Time) {
+		s.control.DoWithoutCancel(func(now time.Time) {
 			duty = s.fleet.AggregationRole(now)
 			pace = occupancy.IntervalsFor(s.fleet.ZoneSize(now), s.fleet.CellSize(now), s.table.Busy(now))
 			s.occupancy.SetIntervals(pace)
@@ -53,7 +53,7 @@
 // have, and takes what all others have.
 func (s *Server) tellZoneRelay(ctx context.Context, address string) {
 	req := &gladegaugev1.TellLoadsRequest{Gateway: s.PeersAddress()}
-	s.control.Must(func(now time.Time) {
+	s.control.DoWithoutCancel(func(now time.Time) {
 		s.takeOwn(now)
 		s.kept.Add(s.PeersAddress(), s.table.News())
 		req.Gateways = count32(s.fleet.CellSize(now))
@@ -65,13 +65,13 @@
 	if !ok {
 		return
 	}
-	s.control.Must(func(now time.Time) { s.takeAnswer(now, address, beyondCell, resp) })
+	s.control.DoWithoutCancel(func(now time.Time) { s.takeAnswer(now, address, beyondCell, resp) })
 }
 
 // tellRelay tells the relay what this gateway has, and takes what all others have.
 func (s *Server) tellRelay(ctx context.Context, address string) {
 	req := &gladegaugev1.TellLoadsRequest{Gateway: s.PeersAddress()}
-	s.control.Must(func(now time.Time) {
+	s.control.DoWithoutCancel(func(now time.Time) {
 		req.Loads = encodeLoads(s.table.Loads(now))
 		req.Parts = encodeParts(s.table.News())
 		req.Suspects = s.suspects.Tell(now, address, true)
@@ -80,7 +80,7 @@
 	if !ok {
 		return
 	}
-	s.control.Must(func(now time.Time) {
+	s.control.DoWithoutCancel(func(now time.Time) {
 		s.occupancy.RecordOthers(now, decodeLoads(resp.GetLoads()))
 		s.table.OthersRead(now, decodeParts(resp.GetParts()))
 		s.suspects.Hear(now, address, resp.GetSuspects(), 0)
@@ -92,7 +92,7 @@
 // have, and takes what theirs have. Those that have just asked know it.
 func (s *Server) tellRelays(ctx context.Context, every time.Duration) {
 	var to []string
-	s.control.Must(func(now time.Time) {
+	s.control.DoWithoutCancel(func(now time.Time) {
 		for _, r := range s.fleet.Relays(now) {
 			if !s.occupancy.RecentlyExchanged(now, r.Zone, every) {
 				to = append(to, r.Address)
@@ -104,7 +104,7 @@
 	})
 	for _, address := range to {
 		req := &gladegaugev1.TellLoadsRequest{Gateway: s.PeersAddress(), Zone: s.o.Settings.Zone}
-		s.control.Must(func(now time.Time) {
+		s.control.DoWithoutCancel(func(now time.Time) {
 			req.Loads = encodeLoads(s.occupancy.Zone(now))
 			req.Parts = encodeParts(s.kept.ForOtherZone(address))
 			req.Suspects = s.suspects.Tell(now, address, false)
@@ -113,7 +113,7 @@
 		if !ok {
 			continue
 		}
-		s.control.Must(func(now time.Time) { s.takeAnswer(now, address, resp.GetZone(), resp) })
+		s.control.DoWithoutCancel(func(now time.Time) { s.takeAnswer(now, address, resp.GetZone(), resp) })
 	}
 }
 
@@ -140,7 +140,7 @@
 	resp, err := s.peer(address).TellLoads(ctx, connect.NewRequest(req))
 	s.metrics.peerCall("tell_loads", err)
 	if err != nil {
-		s.control.Must(func(now time.Time) { s.fleet.RelayFailed(now, address) })
+		s.control.DoWithoutCancel(func(now time.Time) { s.fleet.RelayFailed(now, address) })
 		return nil, false
 	}
 	return resp.Msg, true
@@ -190,7 +190,7 @@
 	from := req.Msg.GetGateway()
 	loads := decodeLoads(req.Msg.GetLoads())
 	parts := decodeParts(req.Msg.GetParts())
-	s.control.Must(func(now time.Time) {
+	s.control.DoWithoutCancel(func(now time.Time) {
 		s.takeOwn(now)
 		if zone := req.Msg.GetZone(); zone != "" {
 			s.occupancy.RecordZone(now, zone, loads)
--- a/internal/edge/gatewayd/loads_test.go
+++ b/internal/edge/gatewayd/loads_test.go
@@ -37,7 +37,7 @@
 	w.await(func() bool {
 		for _, p := range peers {
 			n := 0
-			p.control.Must(func(time.Time) { n = p.table.Size("app") })
+			p.control.DoWithoutCancel(func(time.Time) { n = p.table.Size("app") })
 			if known, _ := p.known(); n != 2 || known != len(peers) {
 				return false
 			}
@@ -54,7 +54,7 @@
 		Model: 1, Tokens: 9000,
 		Parts: []balance.Part{{ID: 5, Tokens: 6000}, {ID: own, Tokens: 3000}},
 	}}
-	p.control.Must(func(now time.Time) { c, _ = p.table.Pick(now, r) })
+	p.control.DoWithoutCancel(func(now time.Time) { c, _ = p.table.Pick(now, r) })
 	return c
 }
 
@@ -62,7 +62,7 @@
 // far as this one knows.
 func othersAt(p *testPeer, c balance.Choice) int {
 	n := 0
-	p.control.Must(func(now time.Time) {
+	p.control.DoWithoutCancel(func(now time.Time) {
 		_, relay := p.fleet.Relay(now)
 		loads, _ := p.occupancy.Others(now, relay)
 		n = loads[xxhash.Sum64String(c.ID)].Requests
@@ -82,14 +82,14 @@
 	// relay passes on what it was told, also to a gateway that is not there.
 	w.await(func() bool {
 		told := 0
-		peers[2].control.Must(func(time.Time) { told = len(peers[2].kept.For("nobody")) })
+		peers[2].control.DoWithoutCancel(func(time.Time) { told = len(peers[2].kept.For("nobody")) })
 		return told > 0
 	})
 	next := pickOn(peers[2], 200)
 	w.is.Equal(next.ID, c.ID) // the shared part is on its way there
 	w.is.Equal(next.Unread, 3000)
 	w.await(func() bool { return othersAt(peers[0], c) == 1 && othersAt(peers[1], c) == 2 })
-	peers[0].control.Must(func(now time.Time) { peers[0].table.Ended(now, c, balance.Completed, balance.Answer{Tokens: 10}) })
+	peers[0].control.DoWithoutCancel(func(now time.Time) { peers[0].table.Ended(now, c, balance.Completed, balance.Answer{Tokens: 10}) })
 	w.await(func() bool { return othersAt(peers[1], c) == 1 && othersAt(peers[2], c) == 0 })
 }
 
@@ -119,10 +119,10 @@
 		told(n)
 	}
 	var sum occupancy.Loads
-	p.control.Must(func(now time.Time) { sum = p.occupancy.Zone(now) })
+	p.control.DoWithoutCancel(func(now time.Time) { sum = p.occupancy.Zone(now) })
 	is.Equal(sum[42].Requests, 3)
 	w.await(func() bool {
-		p.control.Must(func(now time.Time) { sum = p.occupancy.Zone(now) })
+		p.control.DoWithoutCancel(func(now time.Time) { sum = p.occupancy.Zone(now) })
 		return sum[42].Requests == 0
 	})
 }
@@ -138,11 +138,11 @@
 	for i := range 3 * fleet.MaxCellSize {
 		members = append(members, fleet.Member{Address: fmt.Sprint("10.0.0.", i, ":1"), Zone: "a", Start: 1, Beat: 1})
 	}
-	p.control.Must(func(now time.Time) { p.fleet.Merge(now, members) })
+	p.control.DoWithoutCancel(func(now time.Time) { p.fleet.Merge(now, members) })
 	relays := 0
 	for _, m := range members {
 		var speaks bool
-		p.control.Must(func(now time.Time) { speaks = p.fleet.IsCellRelay(now, m.Address) })
+		p.control.DoWithoutCancel(func(now time.Time) { speaks = p.fleet.IsCellRelay(now, m.Address) })
 		_, err := p.TellLoads(context.Background(), connect.NewRequest(&gladegaugev1.TellLoadsRequest{
 			Gateway: m.Address, Gateways: fleet.MaxCellSize,
 			Loads: []*gladegaugev1.UpstreamLoad{{Upstream: upstream, Gone: gone}},
@@ -153,7 +153,7 @@
 			want = gone
 			relays++
 		}
-		p.control.Must(func(now time.Time) {
+		p.control.DoWithoutCancel(func(now time.Time) {
 			w.is.Equal(p.occupancy.Zone(now)[upstream].Gone, want)
 			p.occupancy.RecordMember(now, m.Address, nil)
 		})
--- a/internal/edge/gatewayd/notice.go
+++ b/internal/edge/gatewayd/notice.go
@@ -36,7 +36,7 @@
 		n.SentAt = x.sentAt
 	}
 	var said balance.Said
-	s.control.Must(func(now time.Time) {
+	s.control.DoWithoutCancel(func(now time.Time) {
 		said = s.table.Notice(now, choice.Instance, n)
 		switch {
 		case said.Leaves:
--- a/internal/edge/gatewayd/outage_test.go
+++ b/internal/edge/gatewayd/outage_test.go
@@ -26,7 +26,7 @@
 // holdPoll asks as a follower whose proof has the age, in milliseconds, and knows every entry.
 func holdPoll(w *world, age uint32) *heldPoll {
 	var known feed.Position
-	w.server.control.Must(func(time.Time) {
+	w.server.control.DoWithoutCancel(func(time.Time) {
 		known = w.server.feed.Position()
 	})
 	p := &heldPoll{w: w, done: make(chan *gladegaugev1.FollowResponse, 1)}
@@ -73,7 +73,7 @@
 			w := newWorld(t, 1, nil)
 			w.store.SetTrouble(standin.Silent)
 			p := holdPoll(w, tt.age)
-			w.server.control.Must(func(now time.Time) {
+			w.server.control.DoWithoutCancel(func(now time.Time) {
 				at := now.Add(tt.newer - time.Duration(tt.age)*time.Millisecond)
 				w.server.prove(*w.server.view.Load(), at)
 			})
@@ -91,7 +91,7 @@
 	var resp *gladegaugev1.FollowResponse
 	w.await(func() bool {
 		// One that comes before the question is no news to it.
-		w.server.control.Must(w.server.storeFailed)
+		w.server.control.DoWithoutCancel(w.server.storeFailed)
 		select {
 		case resp = <-p.done:
 			return true
@@ -127,7 +127,7 @@
 			is := is.New(t)
 			w := newWorld(t, 1, nil)
 			w.store.SetTrouble(standin.Silent)
-			w.server.control.Must(func(now time.Time) {
+			w.server.control.DoWithoutCancel(func(now time.Time) {
 				w.server.storeFailedAt = time.Time{}
 				view := *w.server.view.Load()
 				view.NewestAt = now.Add(-tt.age)
--- a/internal/edge/gatewayd/patience.go
+++ b/internal/edge/gatewayd/patience.go
@@ -64,7 +64,7 @@
 // no other one to ask.
 func (x *request) whileAlone(p *patience) {
 	other := false
-	x.server.control.Must(func(now time.Time) { other = x.server.table.MayPick(now, x.wants()) })
+	x.server.control.DoWithoutCancel(func(now time.Time) { other = x.server.table.MayPick(now, x.wants()) })
 	if other {
 		p.giveUp()
 	}
@@ -74,7 +74,7 @@
 // others: the request waits its turn there, and would be read again elsewhere.
 func (x *request) whileAlive(p *patience, choice balance.Choice, limit time.Duration) {
 	var left time.Duration
-	x.server.control.Must(func(now time.Time) {
+	x.server.control.DoWithoutCancel(func(now time.Time) {
 		left = limit - x.server.table.SilentFor(now, choice)
 	})
 	if left <= 0 {
--- a/internal/edge/gatewayd/peers.go
+++ b/internal/edge/gatewayd/peers.go
@@ -81,7 +81,7 @@
 func (s *Server) partner() (string, bool) {
 	var address string
 	var ok bool
-	s.control.Must(func(now time.Time) {
+	s.control.DoWithoutCancel(func(now time.Time) {
 		address, ok = s.fleet.ExchangePeer(now, rand.Uint64(), s.o.Settings.Seeds) //nolint:gosec // Any one will do.
 	})
 	return address, ok
@@ -92,7 +92,7 @@
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	req := connect.NewRequest(&gladegaugev1.GatewayExchangeRequest{})
-	s.control.Must(func(now time.Time) {
+	s.control.DoWithoutCancel(func(now time.Time) {
 		s.fleet.Beat()
 		known := s.fleet.Known(now)
 		req.Msg.Known = count32(known)
@@ -103,7 +103,7 @@
 	}
 	resp, err := s.peer(address).Exchange(ctx, req)
 	s.metrics.peerCall("exchange", err)
-	s.control.Must(func(now time.Time) {
+	s.control.DoWithoutCancel(func(now time.Time) {
 		if err != nil {
 			s.fleet.CallFailed(now, address)
 			return
@@ -177,7 +177,7 @@
 // Exchange answers another gateway's swap.
 func (s *Server) Exchange(_ context.Context, req *connect.Request[gladegaugev1.GatewayExchangeRequest]) (*connect.Response[gladegaugev1.GatewayExchangeResponse], error) {
 	resp := &gladegaugev1.GatewayExchangeResponse{}
-	s.control.Must(func(now time.Time) {
+	s.control.DoWithoutCancel(func(now time.Time) {
 		s.merge(now, req.Msg.GetMembers())
 		resp.Members = s.share(now, int(req.Msg.GetKnown()))
 	})
--- a/internal/edge/gatewayd/peers_test.go
+++ b/internal/edge/gatewayd/peers_test.go
@@ -70,7 +70,7 @@
 
 // known returns the number of gateways, and whether this one follows another.
 func (g *testPeer) known() (n int, follows bool) {
-	g.control.Must(func(now time.Time) {
+	g.control.DoWithoutCancel(func(now time.Time) {
 		n = g.gateways
 		_, follows = g.fleet.Parent(now)
 	})
@@ -157,7 +157,7 @@
 			w := newWorld(t, 1, nil)
 			w.store.SetTrouble(standin.Silent)
 			asked := time.Now().Add(-5 * time.Second)
-			w.server.control.Must(func(now time.Time) {
+			w.server.control.DoWithoutCancel(func(now time.Time) {
 				view := *w.server.view.Load()
 				view.NewestAt = now.Add(-50 * time.Second)
 				w.server.view.Store(&view)
@@ -176,7 +176,7 @@
 	is := is.New(t)
 	w := newWorld(t, 3, nil)
 	var batch feed.Batch
-	w.server.control.Must(func(time.Time) { batch, _ = w.server.feed.Since(feed.Position{}) })
+	w.server.control.DoWithoutCancel(func(time.Time) { batch, _ = w.server.feed.Since(feed.Position{}) })
 	resp := &gladegaugev1.FollowResponse{Epoch: batch.Position.Epoch, Revision: batch.Position.Revision + 9, Version: 1, Outage: true}
 	for _, e := range batch.Entries {
 		if strings.Contains(e.Key, "i-a") || strings.Contains(e.Key, "i-b") {
@@ -207,7 +207,7 @@
 	w := newWorld(t, 1, nil)
 	more := boundsOfTests()
 	more.RetryReserve *= 10
-	w.server.control.Must(func(now time.Time) {
+	w.server.control.DoWithoutCancel(func(now time.Time) {
 		w.server.promised = more
 		w.server.setGateways(2)
 		_, reserve, _ := budgetBounds(more, 2)
@@ -234,7 +234,7 @@
 			partner.Config.ConnState = func(_ net.Conn, state http.ConnState) { states <- state }
 			partner.Start()
 			defer partner.Close()
-			w.server.control.Must(func(now time.Time) {
+			w.server.control.DoWithoutCancel(func(now time.Time) {
 				var members []fleet.Member
 				for i := range tt.known - 1 {
 					members = append(members, fleet.Member{Address: strconv.Itoa(i), Zone: "a", Start: 1, Beat: 1})
--- a/internal/edge/gatewayd/pick.go
+++ b/internal/edge/gatewayd/pick.go
@@ -11,7 +11,7 @@
 func (x *request) pick() (balance.Choice, bool) {
 	var choice balance.Choice
 	var ok bool
-	x.server.control.Must(func(now time.Time) {
+	x.server.control.DoWithoutCancel(func(now time.Time) {
 		if len(x.tried) == 0 {
 			x.server.budget(x.admission.Pool).Request(now)
 		}
@@ -28,7 +28,7 @@
 	var choice balance.Choice
 	var ok bool
 	x.continuing = true
-	x.server.control.Must(func(now time.Time) {
+	x.server.control.DoWithoutCancel(func(now time.Time) {
 		choice, ok = x.server.table.Continue(now, x.wants(), x.backup)
 	})
 	return x.picked(choice, ok)
@@ -75,7 +75,7 @@
 func (x *request) spend() bool {
 	ok := false
 	gateways := 0
-	x.server.control.Must(func(now time.Time) {
+	x.server.control.DoWithoutCancel(func(now time.Time) {
 		ok = x.server.budget(x.admission.Pool).Spend(now)
 		gateways = x.server.gateways
 	})
--- a/internal/edge/gatewayd/reload.go
+++ b/internal/edge/gatewayd/reload.go
@@ -52,7 +52,7 @@
 	}
 	bounds := boundsOf(next.Bounds)
 	s.bounds.Store(&bounds)
-	s.control.Must(func(time.Time) {
+	s.control.DoWithoutCancel(func(time.Time) {
 		s.promised = next.Bounds
 		s.table.SetColdLimits(coldLimits(next.Bounds), s.holds)
 		if t := s.view.Load().Table; t != nil {
--- a/internal/edge/gatewayd/respond.go
+++ b/internal/edge/gatewayd/respond.go
@@ -47,7 +47,7 @@
 func (x *request) withComeBack(refusal *gateway.Refusal) *gateway.Refusal {
 	var left time.Duration
 	var limited bool
-	x.server.control.Must(func(now time.Time) {
+	x.server.control.DoWithoutCancel(func(now time.Time) {
 		left, limited = x.server.table.ComeBack(now, x.admission.Pool, uint64(x.began.UnixNano()))
 	})
 	if limited {
--- a/internal/edge/gatewayd/rest_test.go
+++ b/internal/edge/gatewayd/rest_test.go
@@ -98,7 +98,7 @@
 	closed := make(notice.Closed)
 	state := notice.State{}.With(time.Now(), notice.Notice{Rest: time.Minute})
 	resting := w.replicas[0]
-	w.server.control.Must(func(now time.Time) {
+	w.server.control.DoWithoutCancel(func(now time.Time) {
 		for _, in := range w.server.roster.Current(now) {
 			if in.ID == resting.ID {
 				closed[in.Start()] = state
--- a/internal/edge/gatewayd/restore_test.go
+++ b/internal/edge/gatewayd/restore_test.go
@@ -22,7 +22,7 @@
 // listed returns the upstreams on the gateway's list.
 func (g *testPeer) listed() []balance.Instance {
 	var list []balance.Instance
-	g.control.Must(func(now time.Time) { list = g.roster.Current(now) })
+	g.control.DoWithoutCancel(func(now time.Time) { list = g.roster.Current(now) })
 	return list
 }
 
@@ -101,7 +101,7 @@
 // epoch is that of the store as the gateway knows it.
 func (g *testPeer) epoch() int64 {
 	var epoch int64
-	g.control.Must(func(time.Time) { epoch = g.feed.Position().Epoch })
+	g.control.DoWithoutCancel(func(time.Time) { epoch = g.feed.Position().Epoch })
 	return epoch
 }
 
--- a/internal/edge/gatewayd/slow_test.go
+++ b/internal/edge/gatewayd/slow_test.go
@@ -59,7 +59,7 @@
 	w.server.o.SettingsPath = path
 	spend := func() bool {
 		ok := false
-		w.server.control.Must(func(now time.Time) { ok = w.server.budget("app").Spend(now) })
+		w.server.control.DoWithoutCancel(func(now time.Time) { ok = w.server.budget("app").Spend(now) })
 		return ok
 	}
 	for spend() {
@@ -76,11 +76,11 @@
 	w.store.PutRawConfig([]byte("{"))
 	w.await(func() bool {
 		unread := false
-		w.server.control.Must(func(time.Time) { unread = w.server.configUnread })
+		w.server.control.DoWithoutCancel(func(time.Time) { unread = w.server.configUnread })
 		return unread
 	})
 	before := w.server.view.Load().NewestAt
-	w.server.control.Must(func(now time.Time) { w.server.applyTable(nil, true, now, fromStore) })
+	w.server.control.DoWithoutCancel(func(now time.Time) { w.server.applyTable(nil, true, now, fromStore) })
 	is.Equal(w.server.view.Load().NewestAt, before)
 	w.store.PutConfig(configuration(2))
 	w.await(func() bool { return w.server.view.Load().Table.Version == 2 })
--- a/internal/edge/gatewayd/source.go
+++ b/internal/edge/gatewayd/source.go
@@ -29,7 +29,7 @@
 		return
 	}
 	f.reader.PeerAnswered(f.server.now())
-	f.server.control.Must(func(now time.Time) { f.server.hearOfStore(now, q.Address, resp.Msg) })
+	f.server.control.DoWithoutCancel(func(now time.Time) { f.server.hearOfStore(now, q.Address, resp.Msg) })
 	before := f.server.view.Load().NewestAt
 	f.takeFrom(asked, q.Address, resp.Msg)
 	f.stuckAt = time.Time{}
@@ -56,7 +56,7 @@
 	if !f.position.Known() && connect.CodeOf(err) == connect.CodeFailedPrecondition {
 		return
 	}
-	f.server.control.Must(func(now time.Time) { f.server.fleet.CallFailed(now, address) })
+	f.server.control.DoWithoutCancel(func(now time.Time) { f.server.fleet.CallFailed(now, address) })
 }
 
 // takeFrom brings another gateway's news into force. The answer was made at the
@@ -76,7 +76,7 @@
 	f.reader.PeerStateReceived(f.position.Before(position))
 	f.position = f.position.Later(position)
 	s := f.server
-	s.control.Must(func(now time.Time) {
+	s.control.DoWithoutCancel(func(now time.Time) {
 		if resp.GetOutage() {
 			s.roster.Recovered(made.Add(-time.Duration(resp.GetOutageAgeMs()) * time.Millisecond))
 		}
--- a/internal/edge/gatewayd/state_test.go
+++ b/internal/edge/gatewayd/state_test.go
@@ -133,7 +133,7 @@
 	w.store.SetTrouble(standin.Silent)
 	old := *w.server.view.Load()
 	old.NewestAt = time.Now().Add(-w.server.bounds.Load().KeyAge - time.Millisecond)
-	w.server.control.Must(func(time.Time) { w.server.view.Store(&old) })
+	w.server.control.DoWithoutCancel(func(time.Time) { w.server.view.Store(&old) })
 	a := w.call("/read/1")
 	is.Equal(a.Status, 503)
 	is.True(a.ComeBack() > 0)
@@ -240,7 +240,7 @@
 	})
 	loadAge := func() time.Duration {
 		age := time.Duration(-1)
-		w.server.control.Must(func(now time.Time) {
+		w.server.control.DoWithoutCancel(func(now time.Time) {
 			c, ok := w.server.table.Pick(now, balance.Request{Pool: "app"})
 			if ok {
 				age = c.LoadAge
@@ -262,7 +262,7 @@
 	hold := make(chan struct{})
 	defer close(hold)
 	w := newWorld(t, 1, func(int, standin.Request) standin.Reply { return standin.Reply{Body: "late", Hold: hold} })
-	w.server.control.Must(func(time.Time) { w.server.promised.StopWithin = stopReserve })
+	w.server.control.DoWithoutCancel(func(time.Time) { w.server.promised.StopWithin = stopReserve })
 	var group errgroup.Group
 	group.Go(func() error {
 		w.call("/read/1")
--- a/internal/edge/gatewayd/stop.go
+++ b/internal/edge/gatewayd/stop.go
@@ -38,7 +38,7 @@
 	began := s.now()
 	s.stoppingAt.Store(&began)
 	var stopWithin time.Duration
-	s.control.Must(func(time.Time) {
+	s.control.DoWithoutCancel(func(time.Time) {
 		s.fleet.Leave()
 		stopWithin = s.promised.StopWithin
 	})
--- a/internal/edge/gatewayd/suspects.go
+++ b/internal/edge/gatewayd/suspects.go
@@ -36,7 +36,7 @@
 	}
 	p := x.printed()
 	v := suspect.Free
-	x.server.control.Must(func(now time.Time) { v = x.server.suspects.Admit(now, p) })
+	x.server.control.DoWithoutCancel(func(now time.Time) { v = x.server.suspects.Admit(now, p) })
 	switch v {
 	case suspect.Blocked:
 		return gateway.CrashesUpstreams(false)
@@ -53,7 +53,7 @@
 // leave notes that the request runs no more.
 func (x *request) leave() {
 	if x.quarantined {
-		x.server.control.Must(func(time.Time) { x.server.suspects.Release(x.printed()) })
+		x.server.control.DoWithoutCancel(func(time.Time) { x.server.suspects.Release(x.printed()) })
 	}
 }
 
@@ -80,7 +80,7 @@
 		Start: c.Start(), Upstream: c.ID, Ran: s.now().Sub(x.sentAt),
 	}
 	leaves, known := false, false
-	s.control.Must(func(now time.Time) {
+	s.control.DoWithoutCancel(func(now time.Time) {
 		if leaves = s.table.Leaves(c.ID); leaves {
 			return
 		}
@@ -94,7 +94,7 @@
 	}
 	ended := known || s.client.Refuses(ctx, c.Address, suspects.ProbeTimeout)
 	v := suspect.Free
-	s.control.Must(func(now time.Time) {
+	s.control.DoWithoutCancel(func(now time.Time) {
 		if ended {
 			s.foundEnded(now, c.Instance, balance.Dead)
 			s.table.FoundGone(now, c.Instance)
--- a/internal/edge/gatewayd/turn_test.go
+++ b/internal/edge/gatewayd/turn_test.go
@@ -18,14 +18,14 @@
 	w := newWorld(t, 1, nil)
 	w.store.SetTrouble(standin.Silent)
 	f := &follower{server: w.server, reader: reader.New(w.now()), position: feed.Position{Revision: 1}}
-	w.server.control.Must(func(now time.Time) {
+	w.server.control.DoWithoutCancel(func(now time.Time) {
 		w.server.fleet.Merge(now, []fleet.Member{{Address: "10.0.0.9:1", Zone: "b", Start: 1, Beat: 1}})
 		view := *w.server.view.Load()
 		view.NewestAt = now.Add(-10 * time.Second)
 		w.server.view.Store(&view)
 	})
 	w.is.Equal(f.next().Kind, reader.Watch)
-	w.server.control.Must(func(now time.Time) {
+	w.server.control.DoWithoutCancel(func(now time.Time) {
 		w.server.storeFailed(now)
 		f.reader.StoreFailed(now, 0)
 	})
@@ -45,7 +45,7 @@
 	unread := func() bool {
 		n := 0
 		for _, g := range all {
-			g.control.Must(func(time.Time) {
+			g.control.DoWithoutCancel(func(time.Time) {
 				if g.configUnread && g.view.Load().Table != nil {
 					n++
 				}
--- a/internal/edge/gatewayd/world_test.go
+++ b/internal/edge/gatewayd/world_test.go
@@ -141,7 +141,7 @@
 // upstreams is the number that the gateway may use.
 func (w *world) upstreams() int {
 	n := 0
-	w.server.control.Must(func(time.Time) { n = w.server.table.Size("app") })
+	w.server.control.DoWithoutCancel(func(time.Time) { n = w.server.table.Size("app") })
 	return n
 }
 
--- a/internal/edge/loop/loop.go
+++ b/internal/edge/loop/loop.go
@@ -63,9 +63,9 @@
 	return ErrStopped
 }
 
-// Must executes a function and waits until it has returned, without a context that could
-// cancel it. It returns false only if the loop has stopped.
-func (l *Loop) Must(f func(now time.Time)) bool {
+// DoWithoutCancel executes a function and waits until it has returned, without a context
+// that could cancel it. It returns false only if the loop has stopped.
+func (l *Loop) DoWithoutCancel(f func(now time.Time)) bool {
 	return l.do(nil, f)
 }
 
@@ -99,7 +99,7 @@
 	for {
 		select {
 		case <-ticker.C:
-			if !l.Must(f) {
+			if !l.DoWithoutCancel(f) {
 				return nil
 			}
 		case <-ctx.Done():
--- a/internal/edge/spread/fleet_test.go
+++ b/internal/edge/spread/fleet_test.go
@@ -179,7 +179,7 @@
 	n.group.Go(func() error { return l.Every(ctx, 100*time.Millisecond, n.sync.Tick) })
 	n.revision = func() uint64 {
 		var rev uint64
-		l.Must(func(time.Time) { rev = n.sync.Version().GetRevision() })
+		l.DoWithoutCancel(func(time.Time) { rev = n.sync.Version().GetRevision() })
 		return rev
 	}
 }
@@ -208,13 +208,13 @@
 
 func (n *process) ready() bool {
 	ready := false
-	n.sync.o.Loop.Must(func(time.Time) { ready = n.sync.Ready() })
+	n.sync.o.Loop.DoWithoutCancel(func(time.Time) { ready = n.sync.Ready() })
 	return ready
 }
 
 // holds returns the digest in force and the conflicts seen.
 func (n *process) holds() (digest string, conflicts int) {
-	n.sync.o.Loop.Must(func(time.Time) {
+	n.sync.o.Loop.DoWithoutCancel(func(time.Time) {
 		digest, conflicts = n.sync.holder.Config().Digest(), n.sync.holder.Conflicts()
 	})
 	return digest, conflicts
@@ -223,14 +223,14 @@
 // watches reports whether the process watches the platform.
 func (n *process) watches() bool {
 	watches := false
-	n.sync.o.Loop.Must(func(time.Time) { watches = core.Watches(n.sync.set, n.sync.o.Self) })
+	n.sync.o.Loop.DoWithoutCancel(func(time.Time) { watches = core.Watches(n.sync.set, n.sync.o.Self) })
 	return watches
 }
 
 // logged returns the log, read between two steps of the control loop.
 func (n *process) logged() string {
 	text := ""
-	n.sync.o.Loop.Must(func(time.Time) { text = n.log.String() })
+	n.sync.o.Loop.DoWithoutCancel(func(time.Time) { text = n.log.String() })
 	return text
 }
 
