--- a/internal/edge/entryd/chat_test.go
+++ b/internal/edge/entryd/chat_test.go
@@ -48,8 +48,8 @@
 	})
 }
 
-// TestSlowReader checks that the entry gives up on a caller that never reads, instead of
-// occupying an upstream slot without end.
+// TestSlowReader checks that the entry gives up on a caller that never reads, which would
+// occupy an upstream slot indefinitely.
 func TestSlowReader(t *testing.T) {
 	is := is.New(t)
 	ended := make(chan error, 1)
--- a/internal/edge/entryd/errors.go
+++ b/internal/edge/entryd/errors.go
@@ -97,7 +97,7 @@
 }
 
 // write sends the error. Clients of the OpenAI API retry on their own, so X-Should-Retry
-// forbids it unless the request did not run and a retry delay is known.
+// forbids it for a request that may have run, and without a known retry delay.
 func (p *problem) write(c echo.Context) error {
 	h := c.Response().Header()
 	if p.retryAfter > 0 {
