--- a/internal/e2e/gateway_test.go
+++ b/internal/e2e/gateway_test.go
@@ -144,10 +144,10 @@
 	is.Equal(g.line("ended", "refused")["reason"], "no_route")
 
 	is.NoErr(g.cmd.Process.Signal(syscall.SIGHUP))
-	g.await("reloaded", func() bool { return g.line("settings: taken", "") != nil })
+	g.await("reloaded", func() bool { return g.line("settings: reloaded", "") != nil })
 	is.NoErr(os.WriteFile(g.settings, []byte("zone=\n"), 0o600))
 	is.NoErr(g.cmd.Process.Signal(syscall.SIGHUP))
-	g.await("refused the settings", func() bool { return g.line("settings: faulty, nothing changed", "") != nil })
+	g.await("refused the settings", func() bool { return g.line("settings: invalid, nothing changed", "") != nil })
 	is.Equal(g.call("after", "/read/1").Status, 200)
 
 	is.NoErr(g.cmd.Process.Signal(syscall.SIGTERM))
--- a/internal/edge/gatewayd/take.go
+++ b/internal/edge/gatewayd/answer.go
@@ -15,41 +15,41 @@
 	"github.com/gladegauge/gladegauge/platform"
 )
 
-// holdBytes is the largest answer that is read whole before its head goes to
-// the caller, so that a broken one can still be replaced.
-const holdBytes = 64 << 10
+// maxBufferedBytes is the largest answer that is read completely before its head is sent
+// to the caller, so that another attempt can replace a broken one.
+const maxBufferedBytes = 64 << 10
 
-// answer is what one upstream answered.
+// answer is the answer of one upstream.
 type answer struct {
 	*exchange.Answer
 	choice balance.Choice
 	head   platform.Answer
 }
 
-// errorAnswer is an upstream's own error, read whole.
+// errorAnswer is an error that an upstream answered, with its whole body.
 type errorAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// take passes an answer on, or tells why it cannot be used.
-func (x *request) take(ctx context.Context, a answer) (gateway.Failure, error) {
+// handleAnswer forwards an answer, or returns why it cannot be used.
+func (x *request) handleAnswer(ctx context.Context, a answer) (gateway.Failure, error) {
 	switch {
 	case a.head.Replaced:
-		return gateway.Replaced, errors.Newf("refused with %s by another start", a.Status)
+		return gateway.Replaced, errors.Newf("refused with %s by another instance", a.Status)
 	case a.head.NotRun:
 		return gateway.NotRun, errors.Newf("refused with %s", a.Status)
 	case isSuccess(a.StatusCode) && !a.head.Sealed:
 		return gateway.Lost, errors.Newf("%s without a seal", a.Status)
-	case promisesNotRun(a.StatusCode):
+	case impliesNotRun(a.StatusCode):
 		return gateway.Lost, errors.Newf("%s without the promise that it did not run", a.Status)
 	case isSuccess(a.StatusCode) && isStream(a.Header):
 		return x.relayStream(ctx, a)
 	case x.progress.ResponseStarted:
 		return gateway.Lost, errors.Newf("%s instead of the rest of a stream", a.Status)
 	case a.StatusCode >= http.StatusInternalServerError:
-		return x.keepError(ctx, a)
+		return x.bufferError(ctx, a)
 	default:
 		return x.relayWhole(ctx, a)
 	}
@@ -57,9 +57,9 @@
 
 func isSuccess(status int) bool { return status >= 200 && status < 300 }
 
-// promisesNotRun reports whether callers read the status as a promise that the
-// request has not run.
-func promisesNotRun(status int) bool {
+// impliesNotRun reports whether callers read the status as a promise that the request was
+// not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest,
 		http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -69,18 +69,18 @@
 	}
 }
 
-// isStream reports whether the answer consists of events.
+// isStream reports whether the answer is an event stream.
 func isStream(h http.Header) bool {
 	kind, _, err := mime.ParseMediaType(h.Get("Content-Type"))
 	return err == nil && kind == "text/event-stream"
 }
 
-// keepError reads an upstream's own error; another attempt may replace it.
-func (x *request) keepError(ctx context.Context, a answer) (gateway.Failure, error) {
+// bufferError reads an upstream's own error, which another attempt may replace.
+func (x *request) bufferError(ctx context.Context, a answer) (gateway.Failure, error) {
 	x.answerBegan(a)
-	data, err := io.ReadAll(io.LimitReader(a, holdBytes+1))
-	if err == nil && len(data) > holdBytes {
-		err = errors.Newf("more than %d bytes", holdBytes)
+	data, err := io.ReadAll(io.LimitReader(a, maxBufferedBytes+1))
+	if err == nil && len(data) > maxBufferedBytes {
+		err = errors.Newf("more than %d bytes", maxBufferedBytes)
 	}
 	if err != nil {
 		return x.failureOf(ctx, err), errors.Wrapf(err, "%s with a body that could not be kept", a.Status)
@@ -89,11 +89,11 @@
 	return gateway.Faulty, errors.Newf("the upstream answered %s", a.Status)
 }
 
-// relayWhole passes on an answer that is no stream. A small one is read whole
+// relayWhole forwards an answer that is not a stream. A small one is read completely
 // first.
 func (x *request) relayWhole(ctx context.Context, a answer) (gateway.Failure, error) {
 	x.answerBegan(a)
-	data, err := io.ReadAll(io.LimitReader(a, holdBytes+1))
+	data, err := io.ReadAll(io.LimitReader(a, maxBufferedBytes+1))
 	if err != nil {
 		return x.failureOf(ctx, err), errors.Wrap(err, "body cut short")
 	}
@@ -102,7 +102,7 @@
 	if _, err := x.w.Write(data); err != nil {
 		return gateway.CallerGone, errors.WithStack(err)
 	}
-	if len(data) <= holdBytes {
+	if len(data) <= maxBufferedBytes {
 		return gateway.None, nil
 	}
 	w := &callerWriter{Writer: x.w}
@@ -116,7 +116,7 @@
 	return gateway.None, nil
 }
 
-// callerWriter tells the caller's failures from the upstream's.
+// callerWriter distinguishes write errors to the caller from read errors of the upstream.
 type callerWriter struct {
 	io.Writer
 	failed bool
@@ -143,7 +143,7 @@
 		h.Del("Content-Length")
 	}
 	if _, ok := h["Content-Type"]; !ok {
-		// Keeps the HTTP library from guessing one.
+		// This keeps net/http from detecting a content type.
 		h["Content-Type"] = nil
 	}
 	x.progress.ResponseStarted = true
@@ -151,11 +151,11 @@
 	x.w.WriteHeader(status)
 }
 
-// relayError passes on the upstream's own error.
+// relayError forwards the upstream's own error.
 func (x *request) relayError() {
 	x.commit(x.faulty.status, x.faulty.header, int64(len(x.faulty.body)))
 	if _, err := io.Copy(x.w, bytes.NewReader(x.faulty.body)); err != nil {
-		x.log().Err(err).Msg("caller left before the upstream's error went out")
+		x.log().Err(err).Msg("caller disconnected before the upstream's error was sent")
 	}
 	x.logEnd(upstreamError, nil)
 }
--- a/internal/edge/gatewayd/apply.go
+++ b/internal/edge/gatewayd/apply.go
@@ -9,46 +9,46 @@
 	"github.com/gladegauge/gladegauge/platform"
 )
 
-// reportMost bounds the lines on faulty values of one answer: another writer may make
-// thousands.
-const reportMost = 16
+// maxLoggedFaults bounds the log lines about invalid values in one answer, as another
+// writer may create thousands of them.
+const maxLoggedFaults = 16
 
-// report logs values that could not be read.
-func (s *Server) report(faults []platform.Fault) {
+// logFaults logs and counts values that could not be decoded.
+func (s *Server) logFaults(faults []platform.Fault) {
 	s.metrics.faults.Add(float64(len(faults)))
-	for _, f := range faults[:min(len(faults), reportMost)] {
-		s.log.Error().Str("key", f.Key).Str("faults", f.Faults).Msg("store: value is faulty")
+	for _, f := range faults[:min(len(faults), maxLoggedFaults)] {
+		s.log.Error().Str("key", f.Key).Str("faults", f.Faults).Msg("store: value is invalid")
 	}
-	if more := len(faults) - reportMost; more > 0 {
-		s.log.Error().Int("more", more).Msg("store: more values are faulty")
+	if more := len(faults) - maxLoggedFaults; more > 0 {
+		s.log.Error().Int("more", more).Msg("store: more values are invalid")
 	}
 }
 
-// applyTable brings a published table into force, if it is newer. A nil table
-// means that nothing newer was published or that it could not be read; sound
-// tells them apart. At the moment asked, what was published was the newest.
-// While the newest configuration cannot be read, nothing proves that the one in
-// force is the newest, and neither does a store that has just come back from a copy. It
-// runs in the control goroutine. From names who told it.
-func (s *Server) applyTable(t *ingress.Table, sound bool, asked time.Time, from string) {
+// applyTable puts a published table into force if it is newer. A nil table means either
+// that nothing newer was published or that it could not be decoded; valid is false in the
+// second case. The published configuration was the newest at the time asked. While the
+// newest one cannot be decoded, nothing proves that the one in force is the newest; nor
+// does a store that was just restored from a copy. From names the source of the table. It
+// runs in the control goroutine.
+func (s *Server) applyTable(t *ingress.Table, valid bool, asked time.Time, from string) {
 	view := *s.view.Load()
-	if !s.settling.proves(asked) {
+	if !s.restoreWindow.proves(asked) {
 		asked = view.NewestAt
 	}
-	s.configUnread = t == nil && (s.configUnread || !sound)
+	s.configUnreadable = t == nil && (s.configUnreadable || !valid)
 	if t == nil {
-		if !s.configUnread && view.Table != nil {
-			s.prove(view, asked)
+		if !s.configUnreadable && view.Table != nil {
+			s.recordProof(view, asked)
 		}
 		return
 	}
 	next, taken := view.WithTable(t, asked)
 	if !taken {
 		if t.Version == view.Table.Version {
-			s.prove(view, asked)
+			s.recordProof(view, asked)
 			return
 		}
-		s.log.Warn().Int64("version", t.Version).Int64("in_force", view.Table.Version).Msg("configuration: an older version changes nothing")
+		s.log.Warn().Int64("version", t.Version).Int64("in_force", view.Table.Version).Msg("configuration: ignored an older version")
 		return
 	}
 	s.view.Store(&next)
@@ -57,9 +57,9 @@
 	s.log.Info().Int64("version", t.Version).Int("routes", t.Routes()).Str("from", from).Int64("revision", s.feed.Position().Revision).Msg("configuration: in force")
 }
 
-// prove takes the moment at which the configuration in force was the newest; followers
-// learn of it at once. It runs in the control goroutine.
-func (s *Server) prove(view ingress.View, at time.Time) {
+// recordProof records that the configuration in force was the newest at the given time,
+// and passes that on to followers at once. It runs in the control goroutine.
+func (s *Server) recordProof(view ingress.View, at time.Time) {
 	next := view.WithProof(at)
 	s.view.Store(&next)
 	if next.NewestAt.After(view.NewestAt) {
@@ -67,8 +67,8 @@
 	}
 }
 
-// replaceRoster takes a whole list of upstreams, and all availability zones that are
-// evacuated. It runs in the control goroutine.
+// replaceRoster applies a full list of upstreams and of evacuated availability zones. It
+// runs in the control goroutine.
 func (s *Server) replaceRoster(now time.Time, c platform.Changes) {
 	before := s.roster.Evacuated()
 	s.roster.Drop(c.Unfit)
@@ -78,8 +78,8 @@
 	s.applyRoster(now)
 }
 
-// changeRoster takes upstreams that came, changed or went, and availability zones whose
-// evacuation began or ended. It runs in the control goroutine.
+// changeRoster applies added, changed and removed upstreams, and evacuations of
+// availability zones that began or ended. It runs in the control goroutine.
 func (s *Server) changeRoster(now time.Time, c platform.Changes) {
 	before := s.roster.Evacuated()
 	s.roster.Drop(c.Unfit)
@@ -94,59 +94,59 @@
 	s.applyRoster(now)
 }
 
-// logEvacuated writes which availability zones are evacuated, if others were before.
+// logEvacuated logs the evacuated availability zones if they have changed.
 func (s *Server) logEvacuated(before []string) {
 	if zones := s.roster.Evacuated(); !slices.Equal(zones, before) {
 		s.log.Info().Strs("zones", zones).Strs("before", before).Msg("upstreams: evacuated zones changed")
 	}
 }
 
-// applyRoster brings the list of upstreams into force. It runs in the control
-// goroutine.
+// applyRoster puts the list of upstreams into force. It runs in the control goroutine.
 func (s *Server) applyRoster(now time.Time) {
 	list := s.roster.Current(now)
 	changes := s.table.SetInstances(now, list)
-	s.publish(now, list)
+	s.publishUpstreams(now, list)
 	if v := s.view.Load(); v.Table != nil && len(changes.Came) > 0 {
 		s.table.SetPools(v.Table)
 	}
-	s.forgetLapsed(now)
+	s.scheduleExpiry(now)
 	if changes.Any() {
 		s.log.Info().Strs("came", changes.Came).Strs("went", changes.Went).Strs("leaving", changes.Leaving).Strs("cold", changes.Cold).Strs("restarted", changes.Restarted).
 			Int("upstreams", len(list)).Int("lapsed", s.roster.Expired()).Msg("upstreams: list changed")
 	}
 }
 
-// publish lets requests and metrics see the list, and what upstreams said of themselves:
-// to those that leave no connection is kept. It runs in the control goroutine.
-func (s *Server) publish(now time.Time, list []balance.Instance) {
+// publishUpstreams makes the list, and what upstreams reported about themselves, visible
+// to requests and metrics. No connections to leaving upstreams are kept. It runs in the
+// control goroutine.
+func (s *Server) publishUpstreams(now time.Time, list []balance.Instance) {
 	addresses := make(map[string]bool, len(list))
 	for _, in := range list {
-		leaves := in.Leaving || s.table.SaysLeaving(in.ID)
-		addresses[in.Address] = !leaves || addresses[in.Address]
+		leaving := in.Leaving || s.table.SaysLeaving(in.ID)
+		addresses[in.Address] = !leaving || addresses[in.Address]
 	}
 	s.addresses.Store(&addresses)
 	s.publishClosed(now)
 	s.metrics.list(list, s.table.SaysLeaving)
 }
 
-// publishClosed lets requests see what upstreams said of themselves. It runs in the
-// control goroutine.
+// publishClosed makes the reports of upstreams about themselves visible to requests. It
+// runs in the control goroutine.
 func (s *Server) publishClosed(now time.Time) {
 	closed := s.table.Closed(now)
 	s.closed.Store(&closed)
 	s.metrics.limited.Set(float64(s.table.LimitedUpstreams()))
 }
 
-// forgetLapsed applies the list again when the first of the lapsed entries is to
-// be forgotten: they go without a word from the store, and not a moment too
-// late. It runs in the control goroutine.
-func (s *Server) forgetLapsed(now time.Time) {
-	if s.lapseTimer != nil {
-		s.lapseTimer.Stop()
-		s.lapseTimer = nil
+// scheduleExpiry applies the list again when the first retained entry expires. Such
+// entries are removed without a message from the store, and must not stay longer. It runs
+// in the control goroutine.
+func (s *Server) scheduleExpiry(now time.Time) {
+	if s.expiryTimer != nil {
+		s.expiryTimer.Stop()
+		s.expiryTimer = nil
 	}
 	if end, ok := s.roster.NextExpiry(); ok {
-		s.lapseTimer = time.AfterFunc(end.Sub(now), func() { s.control.Must(s.applyRoster) })
+		s.expiryTimer = time.AfterFunc(end.Sub(now), func() { s.control.Must(s.applyRoster) })
 	}
 }
--- a/internal/edge/gatewayd/attempt.go
+++ b/internal/edge/gatewayd/attempt.go
@@ -36,7 +36,7 @@
 	}
 	x.headAt = x.server.now()
 	a := answer{Answer: got, choice: choice, head: platform.DecodeAnswer(got.StatusCode, got.Header)}
-	failure, err := x.take(ctx, a)
+	failure, err := x.handleAnswer(ctx, a)
 	switch failure {
 	case gateway.None, gateway.Faulty, gateway.NotRun, gateway.Replaced:
 		a.Close()
@@ -92,7 +92,7 @@
 	}
 	x.server.control.Must(func(now time.Time) {
 		if o == balance.Dead || o == balance.Replaced {
-			x.server.foundEnded(now, choice.Instance, o)
+			x.server.recordUpstreamEnd(now, choice.Instance, o)
 		}
 		if survived {
 			x.server.suspects.Clear(now, x.printed(), x.call.ID)
--- a/internal/edge/gatewayd/backup_test.go
+++ b/internal/edge/gatewayd/backup_test.go
@@ -38,7 +38,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, 3, func(n int, _ standin.Request) standin.Reply {
+			w := newTestEnv(t, 3, func(n int, _ standin.Request) standin.Reply {
 				if n == 0 {
 					return tt.first
 				}
--- a/internal/edge/gatewayd/busy_test.go
+++ b/internal/edge/gatewayd/busy_test.go
@@ -20,7 +20,7 @@
 func TestBusyPoolTurnsAway(t *testing.T) {
 	is := is.New(t)
 	hold := make(chan struct{})
-	w := &world{t: t, is: is, store: standin.NewStore(t)}
+	w := &testEnv{t: t, is: is, store: standin.NewStore(t)}
 	cfg := configuration(1)
 	cfg.Engines = true
 	w.store.PutConfig(cfg)
@@ -29,7 +29,7 @@
 	})
 	w.replicas = append(w.replicas, r)
 	w.store.PutReplica(r, "app", false)
-	w.start(boundsOfTests())
+	w.start(testBounds())
 	w.await(func() bool { return w.upstreams() == 1 && w.readiness() == 200 })
 	prompt := func(i int) standin.Request {
 		return standin.Request{ID: fmt.Sprintf("r-%d", i), Host: "x.example", URI: "/chat/1", Key: "key-a", Body: "hello",
--- a/internal/edge/gatewayd/crash_test.go
+++ b/internal/edge/gatewayd/crash_test.go
@@ -15,27 +15,27 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// killer is the body of a request that ends each engine that runs it.
-const killer = "end"
+// crashBody is the body of a request that crashes each engine that runs it.
+const crashBody = "end"
 
-// crashWorld is gateways in two availability zones, and n engines, each of which ends
-// under the request that kills.
-type crashWorld struct {
-	*world
+// crashEnv is a set of gateways in two availability zones, and engines that crash when
+// they run the harmful request.
+type crashEnv struct {
+	*testEnv
 	peers   []*testPeer
 	callers []*standin.Caller
 	calls   int
 }
 
-func newCrashWorld(t *testing.T, engines int) *crashWorld {
+func newCrashEnv(t *testing.T, engines int) *crashEnv {
 	t.Helper()
-	w := &crashWorld{world: &world{t: t, is: is.New(t), store: standin.NewStore(t)}}
+	w := &crashEnv{testEnv: &testEnv{t: t, is: is.New(t), store: standin.NewStore(t)}}
 	cfg := configuration(1)
 	cfg.Engines = true
 	w.store.PutConfig(cfg)
 	for i := range engines {
 		r := standin.NewReplica(t, fmt.Sprintf("i-%d", i), func(_ int, r standin.Request) standin.Reply {
-			return standin.Reply{Crash: r.Body == killer, Events: []string{"a", "b"}}
+			return standin.Reply{Crash: r.Body == crashBody, Events: []string{"a", "b"}}
 		})
 		w.replicas = append(w.replicas, r)
 		w.store.PutReplica(r, "app", false)
@@ -58,10 +58,10 @@
 	return w
 }
 
-// send sends a request to one of the gateways, under a new identity.
-func (w *crashWorld) send(gateway int, uri, body string) standin.Answer {
+// send sends a request with a new identity to one of the gateways.
+func (w *crashEnv) send(gateway int, uri, body string) standin.Answer {
 	w.calls++
-	ctx, cancel := context.WithTimeout(context.Background(), patienceOfTests)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	return w.callers[gateway].Call(ctx, standin.Request{
 		ID: fmt.Sprintf("r-%d", w.calls), Host: "x.example", URI: uri, Key: "key-a",
@@ -69,8 +69,8 @@
 	})
 }
 
-// ended is the number of engines that ended.
-func (w *crashWorld) ended() int {
+// ended returns the number of engines that crashed.
+func (w *crashEnv) ended() int {
 	n := 0
 	for _, r := range w.replicas {
 		if r.Ended() {
@@ -80,22 +80,22 @@
 	return n
 }
 
-// awaitWords waits until all gateways have told what they know three times: to the
-// relay, on to the other relay, and from there to everybody.
-func (w *crashWorld) awaitWords() {
+// awaitReports waits until all gateways have reported three times: to the relay, on to the
+// other relay, and from there to all gateways.
+func (w *crashEnv) awaitReports() {
 	w.t.Helper()
-	told := func(p *testPeer) float64 {
+	reports := func(p *testPeer) float64 {
 		var m dto.Metric
 		w.is.NoErr(p.metrics.peerCalls.WithLabelValues("tell_loads", "ok").Write(&m))
 		return m.GetCounter().GetValue()
 	}
 	var before []float64
 	for _, p := range w.peers {
-		before = append(before, told(p))
+		before = append(before, reports(p))
 	}
 	w.await(func() bool {
 		for i, p := range w.peers {
-			if told(p) < before[i]+3 {
+			if reports(p) < before[i]+3 {
 				return false
 			}
 		}
@@ -103,32 +103,32 @@
 	})
 }
 
-// A request ended each engine that began to run it, and its caller sent it again and
-// again, under new identities and to any gateway: 18 engines of a pool of twelve ended
-// under a single one, eleven of them after the third. The gateways told requests apart
-// by their identity alone, forgot them when they ended, and told each other nothing of
-// what an engine's end took with it. In the logs, at each end one request of any gateway
-// had "stream broken after 0 events: unexpected EOF" and sent 1.
-func TestRequestThatEndsItsUpstreams(t *testing.T) {
-	w := newCrashWorld(t, 14)
+// A request crashed each engine that began to run it, and its caller repeated it with new
+// identities and at any gateway: 18 engines of a pool of twelve crashed under one request,
+// eleven of them after the third crash. Gateways recognised requests by identity only,
+// forgot them when they ended, and did not tell each other which requests a crash took
+// with it. At each crash one request of any gateway had logged "stream broken after 0
+// events: unexpected EOF" and sent 1.
+func TestRequestThatCrashesUpstreams(t *testing.T) {
+	w := newCrashEnv(t, 14)
 	for i := range 9 {
-		w.send(i%len(w.peers), "/chat/1", killer)
-		w.awaitWords()
+		w.send(i%len(w.peers), "/chat/1", crashBody)
+		w.awaitReports()
 	}
 	w.is.Equal(w.ended(), 3)
 }
 
-// The caller of a request that is blocked gets an error that ordinary clients do not
-// repeat, at any gateway, and is not told that coming back helps. It keeps nobody else
-// out, and the logs of its gateways name it.
+// At every gateway the caller of a blocked request gets an error that ordinary clients
+// do not retry, and no time to come back. Other requests are not affected, and the logs
+// of the gateways name the blocked one.
 func TestBlockedRequest(t *testing.T) {
-	w := newCrashWorld(t, 8)
+	w := newCrashEnv(t, 8)
 	for i := range 3 {
-		w.send(i, "/chat/1", killer)
-		w.awaitWords()
+		w.send(i, "/chat/1", crashBody)
+		w.awaitReports()
 	}
 	for i := range w.peers {
-		a := w.send(i, "/chat/1", killer)
+		a := w.send(i, "/chat/1", crashBody)
 		w.is.Equal(a.Status, http.StatusBadRequest)
 		w.is.Equal(a.ComeBack(), time.Duration(0))
 		w.is.True(!a.Sealed())
@@ -138,11 +138,11 @@
 	w.is.Equal(w.ended(), 3)
 }
 
-// Answers that break off without an end of their upstream say nothing about the
-// request, however often.
+// Answers that break off while their upstream keeps running say nothing about the request,
+// however often that happens.
 func TestBrokenAnswersAreNoEvidence(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 3, func(n int, _ standin.Request) standin.Reply {
+	w := newTestEnv(t, 3, func(n int, _ standin.Request) standin.Reply {
 		return standin.Reply{Events: []string{"a", "b", "c"}, CutAfter: 1}
 	})
 	for range 6 {
@@ -152,11 +152,11 @@
 	is.True(!w.server.suspects.Any())
 }
 
-// An innocent request meets an end, comes again, and is served: nothing is left of the
-// suspicion.
-func TestInnocentBesideAnEnd(t *testing.T) {
+// An innocent request is running during crashes, is repeated, and succeeds. It is then no
+// longer suspected.
+func TestInnocentRequestDuringCrash(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 3, func(n int, _ standin.Request) standin.Reply {
+	w := newTestEnv(t, 3, func(n int, _ standin.Request) standin.Reply {
 		return standin.Reply{Crash: n < 2, Events: []string{"a", "b"}}
 	})
 	w.call("/chat/1")
@@ -176,16 +176,16 @@
 	is.True(strings.Contains(w.logs.String(), "suspect: cleared"))
 }
 
-// The gateway does not itself repeat a request under which two upstreams ended.
+// The gateway does not repeat a request by itself after two upstreams crashed under it.
 func TestSuspectIsSentOnce(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 6, func(_ int, r standin.Request) standin.Reply {
-		return standin.Reply{Crash: r.Body == killer}
+	w := newTestEnv(t, 6, func(_ int, r standin.Request) standin.Reply {
+		return standin.Reply{Crash: r.Body == crashBody}
 	})
-	a := w.caller.Call(context.Background(), standin.Request{ID: "r-1", Host: "x.example", URI: "/read/1", Key: "key-a", Body: killer, DeadlineMs: 1500})
+	a := w.caller.Call(context.Background(), standin.Request{ID: "r-1", Host: "x.example", URI: "/read/1", Key: "key-a", Body: crashBody, DeadlineMs: 1500})
 	is.Equal(a.Status, http.StatusBadGateway)
 	is.Equal(len(w.ran()), 2) // both attempts of the route
-	a = w.caller.Call(context.Background(), standin.Request{ID: "r-2", Host: "x.example", URI: "/read/1", Key: "key-a", Body: killer, DeadlineMs: 1500})
+	a = w.caller.Call(context.Background(), standin.Request{ID: "r-2", Host: "x.example", URI: "/read/1", Key: "key-a", Body: crashBody, DeadlineMs: 1500})
 	is.Equal(len(w.ran()), 3)
 	is.Equal(a.Status, http.StatusBadRequest)
 }
--- a/internal/edge/gatewayd/evacuation_test.go
+++ b/internal/edge/gatewayd/evacuation_test.go
@@ -11,21 +11,22 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// newZones starts a gateway in zone a, and a replica in each of the availability zones.
-func newZones(t *testing.T, zones ...string) *world {
+// newZonesEnv starts a gateway in zone a, and a replica in each of the given availability
+// zones.
+func newZonesEnv(t *testing.T, zones ...string) *testEnv {
 	t.Helper()
-	w := &world{t: t, is: is.New(t), store: standin.NewStore(t)}
+	w := &testEnv{t: t, is: is.New(t), store: standin.NewStore(t)}
 	w.store.PutConfig(configuration(1))
 	for _, zone := range zones {
-		w.listIn(zone, "i-"+zone)
+		w.addReplicaIn(zone, "i-"+zone)
 	}
-	w.start(boundsOfTests())
+	w.start(testBounds())
 	w.await(func() bool { return w.upstreams() == len(zones) && w.readiness() == 200 })
 	return w
 }
 
-// listIn starts a replica in the availability zone.
-func (w *world) listIn(zone, id string) *standin.Replica {
+// addReplicaIn starts a replica in the availability zone.
+func (w *testEnv) addReplicaIn(zone, id string) *standin.Replica {
 	w.t.Helper()
 	r := standin.NewReplica(w.t, id, func(int, standin.Request) standin.Reply { return standin.Reply{Body: "done"} })
 	r.Zone = zone
@@ -34,8 +35,8 @@
 	return r
 }
 
-// ranIn counts what the replicas of the availability zone ran.
-func (w *world) ranIn(zone string) int {
+// ranIn returns the number of requests that the replicas of the availability zone ran.
+func (w *testEnv) ranIn(zone string) int {
 	n := 0
 	for _, r := range w.replicas {
 		if r.Zone == zone {
@@ -45,8 +46,8 @@
 	return n
 }
 
-// callMany sends so many requests and returns the number that were answered.
-func (w *world) callMany(n int) int {
+// callMany sends n requests and returns the number of those that succeeded.
+func (w *testEnv) callMany(n int) int {
 	served := 0
 	for i := range n {
 		if w.call(fmt.Sprintf("/read/%d", i)).Status == 200 {
@@ -56,32 +57,32 @@
 	return served
 }
 
-// While an availability zone is evacuated its upstreams get nothing new, also those
-// that are listed only then, and whatever else is published. Requests go elsewhere.
+// The upstreams of an evacuated availability zone get no new requests, not even those
+// listed after it began, whatever else is published. Requests are sent to other zones.
 func TestEvacuatedZoneGetsNothingNew(t *testing.T) {
 	tests := []struct {
 		name string
-		// then is what happens after the evacuation; back is true if it ends it.
-		then func(w *world)
+		// then is what happens after the evacuation; back is true if that ends it.
+		then func(w *testEnv)
 		back bool
 	}{
 		{name: "evacuated"},
-		{name: "asked for twice", then: func(w *world) { w.store.Evacuate("b") }},
-		{name: "a configuration follows", then: func(w *world) { w.store.PutConfig(configuration(2)) }},
-		{name: "its upstream begins to leave", then: func(w *world) { w.store.PutReplica(w.replicas[1], "app", true) }},
-		{name: "the store forgets its history", then: func(w *world) { w.store.Compact() }},
-		{name: "taken back", back: true, then: func(w *world) { w.store.TakeBack("b") }},
-		{name: "taken back and evacuated again", then: func(w *world) {
+		{name: "asked for twice", then: func(w *testEnv) { w.store.Evacuate("b") }},
+		{name: "a configuration follows", then: func(w *testEnv) { w.store.PutConfig(configuration(2)) }},
+		{name: "its upstream begins to leave", then: func(w *testEnv) { w.store.PutReplica(w.replicas[1], "app", true) }},
+		{name: "the store compacts its history", then: func(w *testEnv) { w.store.Compact() }},
+		{name: "taken back", back: true, then: func(w *testEnv) { w.store.TakeBack("b") }},
+		{name: "taken back and evacuated again", then: func(w *testEnv) {
 			w.store.TakeBack("b")
 			w.store.Evacuate("b")
 		}},
-		{name: "taken back while the store forgets", back: true, then: func(w *world) {
+		{name: "taken back while the store compacts its history", back: true, then: func(w *testEnv) {
 			w.store.Deafen()
 			w.store.TakeBack("b")
 			w.store.Forget()
 		}},
-		{name: "another one overlaps, and is taken back", then: func(w *world) {
-			w.listIn("c", "i-c")
+		{name: "another one overlaps and is taken back", then: func(w *testEnv) {
+			w.addReplicaIn("c", "i-c")
 			w.store.Evacuate("c")
 			w.store.TakeBack("c")
 			w.await(func() bool { return w.upstreams() == 2 })
@@ -89,16 +90,16 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newZones(t, "x", "b")
+			w := newZonesEnv(t, "x", "b")
 			w.callMany(20)
 			w.store.Evacuate("b")
 			w.await(func() bool { return w.upstreams() == 1 })
 			if tt.then != nil {
 				tt.then(w)
 			}
-			w.listIn("d", "i-d") // whoever knows it knows all that came before
-			w.await(func() bool { return w.openIn("d") == 1 })
-			w.await(func() bool { return (w.openIn("b") > 0) == tt.back })
+			w.addReplicaIn("d", "i-d") // a gateway that knows this entry knows all earlier ones
+			w.await(func() bool { return w.availableIn("d") == 1 })
+			w.await(func() bool { return (w.availableIn("b") > 0) == tt.back })
 			before := w.ranIn("b")
 			w.is.Equal(w.callMany(20), 20)
 			if !tt.back {
@@ -108,14 +109,15 @@
 			w.store.RemoveReplica("i-x")
 			w.store.RemoveReplica("i-d")
 			w.await(func() bool { return w.upstreams() == 1 })
-			w.is.Equal(w.callMany(5), 5) // nobody else is left
+			w.is.Equal(w.callMany(5), 5) // no other upstream is left
 			w.is.True(w.ranIn("b") >= before+5)
 		})
 	}
 }
 
-// openIn counts the upstreams of the availability zone that may get requests.
-func (w *world) openIn(zone string) int {
+// availableIn returns the number of upstreams in the availability zone that may get
+// requests.
+func (w *testEnv) availableIn(zone string) int {
 	n := 0
 	w.server.control.Must(func(now time.Time) {
 		for _, in := range w.server.roster.Current(now) {
@@ -127,10 +129,10 @@
 	return n
 }
 
-// An evacuation that is taken back while the store is away holds until the store says
-// so; one that began meanwhile is followed as soon as it does.
-func TestEvacuationsInAnOutage(t *testing.T) {
-	w := newZones(t, "x", "b", "c")
+// An evacuation that ends during an outage of the store stays in force until the store
+// reports its end; one that began in the meantime is applied as soon as the store answers.
+func TestEvacuationsDuringOutage(t *testing.T) {
+	w := newZonesEnv(t, "x", "b", "c")
 	w.store.Evacuate("b")
 	w.await(func() bool { return w.upstreams() == 2 })
 	w.store.SetTrouble(standin.Busy)
@@ -141,16 +143,16 @@
 	w.is.Equal(w.callMany(10), 10)
 	w.is.Equal(w.ranIn("b"), before)
 	w.store.SetTrouble(standin.Well)
-	w.await(func() bool { return w.openIn("b") == 1 && w.openIn("c") == 0 })
+	w.await(func() bool { return w.availableIn("b") == 1 && w.availableIn("c") == 0 })
 }
 
-// storeLost reports whether the gateway noticed that the store is away.
-func (w *world) storeLost() bool { return strings.Contains(w.logs.String(), "store: lost") }
+// storeLost reports whether the gateway noticed that it lost the store.
+func (w *testEnv) storeLost() bool { return strings.Contains(w.logs.String(), "store: unreachable") }
 
-// With all availability zones evacuated a request is refused: it has not run, and its
-// caller learns when to come back.
+// If all availability zones are evacuated, a request is refused without being run, and its
+// caller is told when to retry.
 func TestAllZonesEvacuated(t *testing.T) {
-	w := newZones(t, "x", "b")
+	w := newZonesEnv(t, "x", "b")
 	w.store.Evacuate("x")
 	w.store.Evacuate("b")
 	w.await(func() bool { return w.upstreams() == 0 })
@@ -160,10 +162,10 @@
 	w.is.Equal(len(w.ran()), 0)
 }
 
-// A gateway that never reads the store learns of evacuations from its parent, also of
-// those that ended while it was not there.
+// A gateway that never reads the store learns from its parent which evacuations began and
+// ended, also of those before its start.
 func TestEvacuationsReachFollowers(t *testing.T) {
-	w := newZones(t, "x", "b")
+	w := newZonesEnv(t, "x", "b")
 	first := startPeer(t, w.store)
 	second := startPeer(t, w.store, first.PeersAddress())
 	open := func(g *testPeer, zone string) bool {
--- a/internal/edge/gatewayd/failure_test.go
+++ b/internal/edge/gatewayd/failure_test.go
@@ -43,7 +43,7 @@
 
 // The gateway itself notes a replica whose port refuses, and tells of it.
 func TestRefusedConnectionIsTold(t *testing.T) {
-	w := newWorld(t, 1, fine)
+	w := newTestEnv(t, 1, replyOK)
 	w.store.PutAddress("i-dead", closedAddress(t), "app")
 	w.await(func() bool { return w.upstreams() == 2 })
 	w.await(func() bool {
--- a/internal/edge/gatewayd/feed.go
+++ b/internal/edge/gatewayd/feed.go
@@ -11,40 +11,40 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// followWaitMost bounds how long another gateway may ask to be held.
-const followWaitMost = 2 * time.Second
+// maxFollowWait bounds how long another gateway's query may be held.
+const maxFollowWait = 2 * time.Second
 
-var errNothingKnown = errors.New("nothing is known of the store yet")
+var errNoStoreState = errors.New("nothing is known of the store yet")
 
-// renewAfter is by how much a proof has to be newer than a follower's to answer it at
-// once: the age of a view then does not grow with the levels of the tree.
-const renewAfter = 400 * time.Millisecond
+// proofUpdateThreshold is by how much a proof must be newer than that of a follower to
+// answer it at once. The age of a view thus does not grow with the depth of the tree.
+const proofUpdateThreshold = 400 * time.Millisecond
 
-// Follow answers another gateway as soon as there is news for it.
+// Follow answers another gateway as soon as there are updates for it.
 func (s *Server) Follow(ctx context.Context, req *connect.Request[gladegaugev1.FollowRequest]) (*connect.Response[gladegaugev1.FollowResponse], error) {
 	began := s.now()
 	known := feed.Position{Epoch: req.Msg.GetEpoch(), Revision: req.Msg.GetRevision()}
-	wait := min(time.Duration(req.Msg.GetWaitMs())*time.Millisecond, followWaitMost)
+	wait := min(time.Duration(req.Msg.GetWaitMs())*time.Millisecond, maxFollowWait)
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
 		var resp *gladegaugev1.FollowResponse
 		var changed <-chan struct{}
-		var tell bool
+		var answerNow bool
 		if !s.control.Must(func(now time.Time) {
-			resp, changed = s.news(now, began, known)
-			tell = resp != nil && s.worthTelling(began, req.Msg, resp)
+			resp, changed = s.updateFor(now, began, known)
+			answerNow = resp != nil && s.shouldAnswer(began, req.Msg, resp)
 		}) || resp == nil {
-			return nil, connect.NewError(connect.CodeFailedPrecondition, errNothingKnown)
+			return nil, connect.NewError(connect.CodeFailedPrecondition, errNoStoreState)
 		}
-		if tell {
+		if answerNow {
 			return connect.NewResponse(resp), nil
 		}
 		select {
 		case <-changed:
 		case <-timeout.C:
-			// The proof of the age is as new as it can be.
-			s.control.Must(func(now time.Time) { resp, _ = s.news(now, began, known) })
+			// The answer carries the proof as of now, not as of the last change.
+			s.control.Must(func(now time.Time) { resp, _ = s.updateFor(now, began, known) })
 			return connect.NewResponse(resp), nil
 		case <-ctx.Done():
 			return nil, connect.NewError(connect.CodeCanceled, ctx.Err())
@@ -52,24 +52,24 @@
 	}
 }
 
-// worthTelling reports whether the follower is to learn at once what the answer says: new
-// entries, a much newer proof, or that this gateway lost the store meanwhile. It runs in
-// the control goroutine.
-func (s *Server) worthTelling(began time.Time, req *gladegaugev1.FollowRequest, resp *gladegaugev1.FollowResponse) bool {
-	if len(resp.GetEntries()) > 0 || s.storeLostAt.After(began) {
+// shouldAnswer reports whether the follower must receive the answer at once: it contains
+// new entries or a much newer proof, or this gateway has lost the store in the meantime.
+// It runs in the control goroutine.
+func (s *Server) shouldAnswer(began time.Time, req *gladegaugev1.FollowRequest, resp *gladegaugev1.FollowResponse) bool {
+	if len(resp.GetEntries()) > 0 || s.ownStoreFailedAt.After(began) {
 		return true
 	}
 	if req.AgeMs == nil || resp.GetVersion() == 0 {
 		return false
 	}
-	theirs := began.Add(-time.Duration(req.GetAgeMs()) * time.Millisecond)
-	return s.view.Load().NewestAt.Sub(theirs) > renewAfter
+	followerProof := began.Add(-time.Duration(req.GetAgeMs()) * time.Millisecond)
+	return s.view.Load().NewestAt.Sub(followerProof) > proofUpdateThreshold
 }
 
-// news returns what a follower at the position does not know; nil if nothing is
-// known here. The channel is closed by the next change. It runs in the control
-// goroutine.
-func (s *Server) news(now, began time.Time, known feed.Position) (*gladegaugev1.FollowResponse, <-chan struct{}) {
+// updateFor returns what a follower at the position does not know; nil if this gateway
+// knows nothing of the store. The channel is closed at the next change. It runs in the
+// control goroutine.
+func (s *Server) updateFor(now, began time.Time, known feed.Position) (*gladegaugev1.FollowResponse, <-chan struct{}) {
 	batch, ok := s.feed.Since(known)
 	if !ok {
 		return nil, s.feedChanged
@@ -83,7 +83,7 @@
 	}
 	if view.Table != nil && !view.NewestAt.IsZero() {
 		resp.Version = view.Table.Version
-		// Rounded up: an age may be overstated, never understated.
+		// The age is rounded up, because it may be overstated but never understated.
 		resp.AgeMs = wholeMilliseconds(view.Age(now)) + 1
 	}
 	if at := s.roster.RecoveredAt(); !at.IsZero() {
@@ -92,15 +92,14 @@
 	}
 	resp.BackoffMs = wholeMilliseconds(s.fleet.Backoff(now))
 	resp.FailedAgeMs = millisecondsSince(now, s.storeFailedAt)
-	resp.ReadAgeMs = millisecondsSince(now, s.readAt)
+	resp.ReadAgeMs = millisecondsSince(now, s.storeReadAt)
 	for _, e := range batch.Entries {
 		resp.Entries = append(resp.Entries, encodeEntry(now, e))
 	}
 	return resp, s.feedChanged
 }
 
-// wakeFollowers tells the followers that there is news. It runs in the control
-// goroutine.
+// wakeFollowers wakes the held queries of followers. It runs in the control goroutine.
 func (s *Server) wakeFollowers() {
 	close(s.feedChanged)
 	s.feedChanged = make(chan struct{})
--- a/internal/edge/gatewayd/follow.go
+++ b/internal/edge/gatewayd/follow.go
@@ -14,29 +14,29 @@
 	"github.com/gladegauge/gladegauge/platform"
 )
 
-// fromStore names the store as the one that told something.
-const fromStore = "store"
+// sourceStore names the store as the source of a state.
+const sourceStore = "store"
 
-// follower reads the store for one gateway, from its parent or by itself.
+// follower keeps the state of one gateway up to date, from its parent or from the store.
 type follower struct {
 	server *Server
 	store  *platform.Store
 	reader *reader.Reader
-	// position is the one in the store up to which everything is known.
+	// position is the position in the store up to which the state is complete.
 	position feed.Position
-	// consistency is of the next listing. A stale one is cheap and is brought up
-	// to date by the watch that follows; but after the store has forgotten its
-	// history, one that is older than that history would lead nowhere.
+	// consistency is that of the next listing. A stale listing is cheap, and the watch
+	// that follows brings it up to date. After the store has compacted its history, a
+	// listing older than that history cannot be continued by a watch.
 	consistency platform.Consistency
-	// lateSince is when what is known became too old to wait for others; zero while it
+	// staleSince is when the view became too old to wait for other gateways; zero while it
 	// is not.
-	lateSince time.Time
-	// stuckAt is the proof that was in force when another gateway answered at once and
-	// brought nothing that could be taken; zero otherwise.
-	stuckAt time.Time
+	staleSince time.Time
+	// stalledProofAt is the time of the proof in force when another gateway answered at
+	// once without anything that could be applied; zero otherwise.
+	stalledProofAt time.Time
 }
 
-// follow learns what is published and then every change, from its parent or from
+// follow learns the published state and then every change to it, from its parent or from
 // the store, until the context ends.
 func (s *Server) follow(ctx context.Context) error {
 	f := &follower{
@@ -51,13 +51,13 @@
 	return nil
 }
 
-// step asks once.
+// step performs one query.
 func (f *follower) step(ctx context.Context) {
 	switch q := f.next(); q.Kind {
 	case reader.Pause:
 		loop.Pause(ctx, q.Wait)
 	case reader.QueryPeer:
-		f.askPeer(ctx, q)
+		f.queryPeer(ctx, q)
 	case reader.List:
 		f.list(ctx)
 	case reader.Watch:
@@ -65,62 +65,63 @@
 	}
 }
 
-// next returns what to ask next.
+// next returns the next query.
 func (f *follower) next() reader.Query {
 	var q reader.Query
 	f.server.control.Must(func(now time.Time) {
 		v, b := f.view(now), f.server.readerBounds()
-		if f.lateSince.IsZero() && b.IsStale(v) {
-			f.lateSince = now
-			f.logKnown(f.server.log.Info()).Msg("view: too old to wait for others")
+		if f.staleSince.IsZero() && b.IsStale(v) {
+			f.staleSince = now
+			f.withStoreState(f.server.log.Info()).Msg("view: stale, no longer waiting for other gateways")
 		}
 		q = f.reader.Next(now, v, b, f.server.fleet, rand.Uint64()) //nolint:gosec // Any one will do.
 	})
 	return q
 }
 
-// view is what is known of the store. What was read is new also while nothing proves the
-// configuration in force, as the newest one cannot be read. It runs in the control goroutine.
+// view describes the known state of the store. What was read counts as new even while the
+// newest configuration cannot be decoded, so that nothing proves the one in force. It runs
+// in the control goroutine.
 func (f *follower) view(now time.Time) reader.View {
 	v := f.server.view.Load()
-	return reader.View{Known: f.position.Known(), InForce: v.Table != nil, Age: min(v.Age(now), now.Sub(f.server.readAt))}
+	return reader.View{Known: f.position.Known(), InForce: v.Table != nil, Age: min(v.Age(now), now.Sub(f.server.storeReadAt))}
 }
 
-// readerBounds returns the times in which this gateway has to know what the store holds.
+// readerBounds returns the maximum ages of the state that this gateway knows.
 func (s *Server) readerBounds() reader.Bounds {
 	b := s.bounds.Load()
 	return reader.Bounds{KeyAge: b.KeyAge, ListAge: b.ListAge, MaxConfigDelay: b.DenyAge}
 }
 
-// late reports whether what is known is too old to wait for others.
-func (f *follower) late() bool {
-	var late bool
-	f.server.control.Must(func(now time.Time) { late = f.server.readerBounds().IsStale(f.view(now)) })
-	return late
+// stale reports whether the view is too old to wait for other gateways.
+func (f *follower) stale() bool {
+	var stale bool
+	f.server.control.Must(func(now time.Time) { stale = f.server.readerBounds().IsStale(f.view(now)) })
+	return stale
 }
 
-// noteRenewed writes by whom a view that had been too old was proved anew.
-func (f *follower) noteRenewed(now time.Time, from string) {
-	if f.lateSince.IsZero() || f.late() {
+// logRenewed logs which source proved a stale view anew.
+func (f *follower) logRenewed(now time.Time, from string) {
+	if f.staleSince.IsZero() || f.stale() {
 		return
 	}
-	f.logKnown(f.server.log.Info()).Str("from", from).Dur("after", now.Sub(f.lateSince)).Msg("view: renewed")
-	f.lateSince = time.Time{}
+	f.withStoreState(f.server.log.Info()).Str("from", from).Dur("after", now.Sub(f.staleSince)).Msg("view: no longer stale")
+	f.staleSince = time.Time{}
 }
 
-// wasRead notes that all that is known was read from the store then. It runs in the control
-// goroutine.
-func (s *Server) wasRead(at time.Time) {
-	if at.After(s.readAt) {
-		s.readAt = at
+// recordRead records that the known state is complete as of the given time. It runs in the
+// control goroutine.
+func (s *Server) recordRead(at time.Time) {
+	if at.After(s.storeReadAt) {
+		s.storeReadAt = at
 	}
 }
 
-// list reads everything.
+// list reads the full state.
 func (f *follower) list(ctx context.Context) {
 	asked := f.server.now()
 	if f.consistency == platform.Stale {
-		// A stale listing proves nothing about its age.
+		// A stale listing does not prove how old it is.
 		asked = time.Time{}
 	}
 	all, err := f.store.List(ctx, f.consistency)
@@ -128,112 +129,113 @@
 		err = platform.ErrEarlierEpoch
 	}
 	if err != nil {
-		f.failed(ctx, err)
+		f.handleFailure(ctx, err)
 		return
 	}
-	f.succeeded()
+	f.handleSuccess()
 	if f.consistency == platform.Stale && all.Position.Epoch > 0 {
-		// The store came back from a copy before, perhaps since the moment that the listing
-		// shows: what follows its revision may be of another history.
+		// The store was restored from a copy, possibly after the state that this listing
+		// shows. What follows its revision may then belong to another history.
 		f.consistency = platform.Newest
 		return
 	}
-	f.logKnown(f.server.log.Info()).Int64("new_epoch", all.Position.Epoch).Int64("new_revision", all.Position.Revision).
-		Int("entries", len(all.Entries)).Msg("store: everything read")
+	f.withStoreState(f.server.log.Info()).Int64("new_epoch", all.Position.Epoch).Int64("new_revision", all.Position.Revision).
+		Int("entries", len(all.Entries)).Msg("store: listed all entries")
 	f.position = all.Position
 	f.reader.Listed()
-	f.server.report(all.Faults)
+	f.server.logFaults(all.Faults)
 	f.server.control.Must(func(now time.Time) {
-		f.server.takeWhole(now, all.Position, all)
-		f.server.settleByList(all)
-		f.server.applyTable(all.Table, !all.ConfigFaulty(), asked, fromStore)
-		f.server.wasRead(asked)
+		f.server.applySnapshot(now, all.Position, all)
+		f.server.recordListedConfig(all)
+		f.server.applyTable(all.Table, !all.ConfigFaulty(), asked, sourceStore)
+		f.server.recordRead(asked)
 	})
-	f.noteRenewed(f.server.now(), fromStore)
+	f.logRenewed(f.server.now(), sourceStore)
 }
 
 // watch waits for changes once.
 func (f *follower) watch(ctx context.Context, wait time.Duration) {
 	asked := f.server.now()
 	c, err := f.store.Watch(ctx, f.position, wait)
-	if changesGone(err) {
+	if needsRelist(err) {
 		f.consistency = platform.Newest
 		f.reader.HistoryCompacted()
-		f.logKnown(f.server.log.Info()).AnErr("cause", err).Msg("store: changes cannot be had, reading everything anew")
+		f.withStoreState(f.server.log.Info()).AnErr("cause", err).Msg("store: changes unavailable, relisting")
 		return
 	}
 	if err != nil {
-		f.failed(ctx, err)
+		f.handleFailure(ctx, err)
 		return
 	}
-	f.succeeded()
-	f.take(c, provedAt(asked, f.server.now(), wait, c))
+	f.handleSuccess()
+	f.applyChanges(c, provedAt(asked, f.server.now(), wait, c))
 	f.reader.Watched(f.server.now(), c.Any())
-	f.noteRenewed(f.server.now(), fromStore)
+	f.logRenewed(f.server.now(), sourceStore)
 }
 
-// logKnown adds to a line how far the store is known, and how old the proof of the
-// configuration in force is.
-func (f *follower) logKnown(line *zerolog.Event) *zerolog.Event {
+// withStoreState adds to a log line the position up to which the store is known, and the
+// age of the proof of the configuration in force.
+func (f *follower) withStoreState(line *zerolog.Event) *zerolog.Event {
 	return line.Int64("epoch", f.position.Epoch).Int64("revision", f.position.Revision).
-		Uint64("view_age", ageOf(f.server.view.Load(), f.server.now()))
+		Uint64("view_age", viewAgeMs(f.server.view.Load(), f.server.now()))
 }
 
-// changesGone reports whether a watch from the same position would fail again. Too many
-// changes for one answer come again with every watch: another writer would keep all others
-// from being heard of.
-func changesGone(err error) bool {
+// needsRelist reports whether a watch from the same position would fail again. If there
+// are too many changes for one answer, every watch fails: another writer could otherwise
+// hide the changes of all others.
+func needsRelist(err error) bool {
 	return errors.Is(err, platform.ErrCompacted) || errors.Is(err, platform.ErrTooLarge) || errors.Is(err, platform.ErrRestored)
 }
 
-// take brings changes into force. What is known was the newest at the proof.
-func (f *follower) take(c platform.Changes, proof time.Time) {
+// applyChanges applies changes from the store. The state was the newest at the time of the
+// proof.
+func (f *follower) applyChanges(c platform.Changes, proof time.Time) {
 	f.position = c.Position
-	f.server.report(c.Faults)
+	f.server.logFaults(c.Faults)
 	f.server.control.Must(func(now time.Time) {
 		if len(c.Entries) > 0 {
-			f.server.feedFrom(c.Position, c.Entries, false)
+			f.server.addToFeed(c.Position, c.Entries, false)
 		}
 		if c.AnyUpstreams() {
 			f.server.changeRoster(now, c)
 		}
-		f.server.settleByWatch(c)
-		f.server.applyTable(c.Table, !c.ConfigFaulty(), proof, fromStore)
-		f.server.wasRead(proof)
+		f.server.recordWatchedConfig(c)
+		f.server.applyTable(c.Table, !c.ConfigFaulty(), proof, sourceStore)
+		f.server.recordRead(proof)
 	})
 }
 
-// failed notes a failure.
-func (f *follower) failed(ctx context.Context, err error) {
+// handleFailure records a failed call.
+func (f *follower) handleFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	var leaves time.Duration
+	var backoff time.Duration
 	f.server.control.Must(func(now time.Time) {
 		f.server.storeFailed(now)
-		leaves = f.server.fleet.Backoff(now)
+		backoff = f.server.fleet.Backoff(now)
 	})
-	f.logFailure(err, leaves)
+	f.logFailure(err, backoff)
 	f.reader.StoreFailed(f.server.now(), rand.Uint64()) //nolint:gosec // Jitter needs no secret randomness.
 }
 
-// logFailure writes that a call failed: the first one as a change of state, every further
-// one as well, since between them the store is left to others for the time.
-func (f *follower) logFailure(err error, leaves time.Duration) {
-	line, text := f.server.log.Info(), "store: still lost"
+// logFailure logs a failed call: the first one as a change of state, and each further one
+// too, because in between the store is avoided for the given time.
+func (f *follower) logFailure(err error, backoff time.Duration) {
+	line, text := f.server.log.Info(), "store: still unreachable"
 	if !f.reader.Lost() {
-		line, text = f.server.log.Warn(), "store: lost"
+		line, text = f.server.log.Warn(), "store: unreachable"
 	}
-	f.logKnown(line).Dur("leaves_to_others", leaves).Err(err).Msg(text)
+	f.withStoreState(line).Dur("leaves_to_others", backoff).Err(err).Msg(text)
 }
 
-// succeeded notes an answer. After an outage upstreams need a moment to renew
-// their entries.
-func (f *follower) succeeded() {
+// handleSuccess records an answer. After an outage upstreams need some time to renew their
+// entries.
+func (f *follower) handleSuccess() {
 	f.server.control.Must(f.server.storeAnswered)
 	loss := f.reader.StoreAnswered(f.server.now())
 	if loss.Lost {
-		f.server.log.Info().Dur("after", loss.After).Msg("store: regained")
+		f.server.log.Info().Dur("after", loss.After).Msg("store: reachable again")
 	}
 	if loss.Outage {
 		f.server.control.Must(func(time.Time) { f.server.roster.Recovered(loss.FailedAt) })
--- a/internal/edge/gatewayd/leaving_test.go
+++ b/internal/edge/gatewayd/leaving_test.go
@@ -15,7 +15,7 @@
 // While the store was silent, an upstream said in its answers that it leaves, and the
 // gateway that passed such an answer on sent it another request 12.3 s later, another
 // gateway 2.2 s later. Gateways knew of leaving from the store's entries alone: between
-// the answer and "store: regained" no log line spoke of it, and the next pick still
+// the answer and "store: reachable again" no log line spoke of it, and the next pick still
 // compared all of "candidates":12.
 func TestUpstreamThatSaysItLeavesGetsNothingNew(t *testing.T) {
 	tests := []struct {
@@ -33,7 +33,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, 3, func(int, standin.Request) standin.Reply { return tt.reply })
+			w := newTestEnv(t, 3, func(int, standin.Request) standin.Reply { return tt.reply })
 			w.store.SetTrouble(standin.Silent)
 			for range 3 {
 				w.call("/write/1") // each upstream says so once
--- a/internal/edge/gatewayd/lend.go
+++ b/internal/edge/gatewayd/lend.go
@@ -12,11 +12,12 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// borrowTimeout bounds the call to a holder: several round trips between availability
-// zones. A request that got no turn by then is refused.
+// borrowTimeout bounds the call to a holder. It is several round trips between
+// availability zones. A request that has no turn by then is refused.
 const borrowTimeout = 60 * time.Millisecond
 
-// borrow asks holders for a turn of a limited upstream, for a request that has no other.
+// borrow asks holders for a turn of a limited upstream, for a request that found no other
+// upstream.
 func (x *request) borrow() (balance.Choice, bool) {
 	s := x.server
 	var loans []balance.Loan
@@ -25,9 +26,9 @@
 		if x.left() <= borrowTimeout {
 			break
 		}
-		granted, err := x.borrowOf(l)
+		granted, err := x.borrowFrom(l)
 		if err != nil {
-			x.log().Err(err).Str("upstream", l.ID).Msg("no turn could be borrowed")
+			x.log().Err(err).Str("upstream", l.ID).Msg("could not borrow a turn")
 			break
 		}
 		if !granted {
@@ -43,8 +44,9 @@
 	return balance.Choice{}, false
 }
 
-// borrowOf reports whether a holder lends a turn of the upstream. The error is of the call.
-func (x *request) borrowOf(l balance.Loan) (bool, error) {
+// borrowFrom reports whether a holder lends a turn of the upstream. The error is that of
+// the call.
+func (x *request) borrowFrom(l balance.Loan) (bool, error) {
 	s := x.server
 	var holder string
 	var ok bool
@@ -59,7 +61,7 @@
 	resp, err := s.peer(holder).BorrowTurn(ctx, connect.NewRequest(req))
 	s.metrics.peerCall("borrow_turn", err)
 	if err != nil {
-		return false, errors.Wrapf(err, "borrow a turn of %s", holder)
+		return false, errors.Wrapf(err, "borrow a turn from %s", holder)
 	}
 	if !resp.Msg.GetGranted() {
 		wait := time.Duration(resp.Msg.GetWaitMs()) * time.Millisecond
@@ -68,13 +70,13 @@
 	return resp.Msg.GetGranted(), nil
 }
 
-// BorrowTurn lends a turn of a limited upstream, if this gateway has one.
+// BorrowTurn lends another gateway a turn of a limited upstream, if this gateway has one.
 func (s *Server) BorrowTurn(_ context.Context, req *connect.Request[gladegaugev1.BorrowTurnRequest]) (*connect.Response[gladegaugev1.BorrowTurnResponse], error) {
 	resp := &gladegaugev1.BorrowTurnResponse{}
 	s.control.Must(func(now time.Time) {
 		wait, ok := s.table.Lend(now, req.Msg.GetUpstream(), req.Msg.GetLeast())
 		resp.Granted = ok
-		resp.WaitMs = count32(int(wait.Milliseconds()))
+		resp.WaitMs = clampUint32(int(wait.Milliseconds()))
 	})
 	return connect.NewResponse(resp), nil
 }
--- a/internal/edge/gatewayd/limit_test.go
+++ b/internal/edge/gatewayd/limit_test.go
@@ -14,24 +14,25 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// limitLine names a limit of one request a second, as it stands in the heads of answers.
+// limitLine announces a limit of one request per second, as in the head of an answer.
 const limitLine = "Server-Limit: 1\r\n"
 
 const (
-	// limitWindow is the time over which an upstream counts what it gets, limitOverrun how
-	// many times its limit it bears, and limitSlack how many requests beside that.
+	// limitWindow is the window over which an upstream counts requests, limitOverrun the
+	// multiple of its limit that it tolerates, and limitSlack the number of requests that
+	// it tolerates in addition.
 	limitWindow  = 4 * time.Second
 	limitOverrun = 1.5
 	limitSlack   = 5
 )
 
-// Two engines said in their answers that they take one request a second from all gateways
-// together, and got 22 and 15 in 4 s from gateways that had passed such an answer on. What
-// an answer says of a limit reached nobody: one gateway sent 30 requests in a tenth of a
-// second to each of two upstreams after "upstream changes its limit" stood in its log, and
-// each "picked" line compared both of them. Each gateway for itself could not have kept it
-// either, as the limit binds the sum of all.
-func TestUpstreamThatNamesALimitGetsNoMore(t *testing.T) {
+// Two engines announced a limit of one request per second for all gateways together, and
+// got 22 and 15 requests in 4 s from gateways that had forwarded such an answer. The
+// limits in answers had no effect: one gateway sent 30 requests within 100 ms to each of
+// two upstreams after it had logged "upstream changes its limit", and each "picked" line
+// compared both of them. No gateway could have kept the limit alone, because it applies to
+// the sum of all gateways.
+func TestAnnouncedLimitIsKept(t *testing.T) {
 	tests := []struct {
 		name  string
 		reply standin.Reply
@@ -47,7 +48,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, 2, func(int, standin.Request) standin.Reply { return tt.reply })
+			w := newTestEnv(t, 2, func(int, standin.Request) standin.Reply { return tt.reply })
 			began := time.Now()
 			for range 60 {
 				w.call("/write/1")
@@ -60,12 +61,12 @@
 	}
 }
 
-// Where all upstreams have a limit the caller is told at once that nothing ran, and when a
-// turn is likely. The end of a limit is told by the first answer without it.
+// If all upstreams have a limit, the caller is told at once that nothing was run, and when
+// a turn is likely. The first answer without a limit ends it.
 func TestAllUpstreamsAreLimited(t *testing.T) {
 	is := is.New(t)
 	var free atomic.Bool
-	w := newWorld(t, 2, func(int, standin.Request) standin.Reply {
+	w := newTestEnv(t, 2, func(int, standin.Request) standin.Reply {
 		if free.Load() {
 			return standin.Reply{Body: "done"}
 		}
@@ -84,15 +85,15 @@
 	free.Store(true)
 	w.suspend(2 * time.Second)
 	for range 20 {
-		is.Equal(w.call("/write/1").Status, 200) // the first one brings the word
+		is.Equal(w.call("/write/1").Status, 200) // the first answer ends the limit
 	}
 	is.True(strings.Contains(w.logs.String(), `"limited":false,"per_second":0,"message":"upstream changes its limit"`))
 }
 
-// A word of a limit that cannot be read is logged once, and changes nothing.
+// A limit that cannot be parsed is logged once, and changes nothing.
 func TestUnreadableLimitIsLoggedOnce(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, func(int, standin.Request) standin.Reply {
+	w := newTestEnv(t, 1, func(int, standin.Request) standin.Reply {
 		return standin.Reply{Body: "done", Lines: "Server-Limit: few\r\n"}
 	})
 	for range 20 {
@@ -101,10 +102,10 @@
 	is.Equal(strings.Count(w.logs.String(), "upstream says what cannot be read"), 1)
 }
 
-// A request that was picked before the word of a limit came does not go out without a turn.
-func TestLastLookAtLimits(t *testing.T) {
+// A request that was picked before a limit was announced is not sent without a turn.
+func TestLimitIsCheckedBeforeSending(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 2, func(int, standin.Request) standin.Reply { return standin.Reply{Body: "done"} })
+	w := newTestEnv(t, 2, func(int, standin.Request) standin.Reply { return standin.Reply{Body: "done"} })
 	limited := w.replicas[0]
 	closed := make(notice.Closed)
 	state := notice.State{}.With(time.Now(), notice.Notice{Limit: notice.Limit{Announced: true, PerSecond: 1}})
@@ -125,7 +126,7 @@
 
 // Gateways tell each other of a limit: one that has sent nothing keeps it, and counts it.
 func TestLimitReachesOtherGateways(t *testing.T) {
-	w := &world{t: t, is: is.New(t), store: standin.NewStore(t)}
+	w := &testEnv{t: t, is: is.New(t), store: standin.NewStore(t)}
 	w.store.PutConfig(configuration(1))
 	r := standin.NewReplica(t, "i-a", func(int, standin.Request) standin.Reply {
 		return standin.Reply{Body: "done", Lines: limitLine}
@@ -148,9 +149,10 @@
 	w.await(func() bool { return limited(first) == 1 && limited(second) == 1 })
 }
 
-// A gateway without a turn of a limited upstream borrows one of the gateway that holds it.
+// A gateway without a turn of a limited upstream borrows one from the gateway that holds
+// it.
 func TestBorrowedTurn(t *testing.T) {
-	w := &world{t: t, is: is.New(t), store: standin.NewStore(t)}
+	w := &testEnv{t: t, is: is.New(t), store: standin.NewStore(t)}
 	w.store.PutConfig(configuration(1))
 	r := standin.NewReplica(t, "i-a", func(int, standin.Request) standin.Reply {
 		return standin.Reply{Body: "done", Lines: "Server-Limit: 1000\r\n"}
@@ -163,7 +165,7 @@
 		m, _ := second.known()
 		return n == 2 && m == 2 && first.version() == 1 && second.version() == 1
 	})
-	// The second one has just started, and holds nothing for a while.
+	// The second gateway has just started, and holds no turns for a while.
 	second.control.Must(func(now time.Time) {
 		for _, in := range second.roster.Current(now) {
 			second.table.Notice(now, in, notice.Notice{Limit: notice.Limit{Announced: true, PerSecond: 1000}, SentAt: now})
@@ -180,18 +182,18 @@
 	w.is.True(len(r.Arrived()) >= 1)
 }
 
-// A gateway that has sent nothing since a limit was named is told by others that it ended,
-// and goes on sending there for as long as they say so. The last look before a request goes
-// out saw the state of the moment at which the limit was lifted: 0.7 s later the votes in it
-// had lapsed, and each request there failed as "withheld".
-func TestLimitThatOthersLift(t *testing.T) {
+// A gateway that has sent nothing since a limit was announced learns from others that it
+// ended, and keeps sending as long as they report so. The check before a request is sent
+// used the state of the moment at which the limit was lifted. The votes in it had expired
+// 0.7 s later, and each request failed as "withheld".
+func TestLimitLiftedByOthers(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, func(int, standin.Request) standin.Reply { return standin.Reply{Body: "done"} })
+	w := newTestEnv(t, 1, func(int, standin.Request) standin.Reply { return standin.Reply{Body: "done"} })
 	free := func(now time.Time, start uint64) {
 		for _, address := range []string{"a:1", "b:1"} {
 			w.server.occupancy.RecordMember(now, address, occupancy.Loads{start: {Free: 1}})
 		}
-		w.server.takeOthers(now, true)
+		w.server.applyOthers(now, true)
 	}
 	w.server.control.Must(func(now time.Time) {
 		in := w.server.roster.Current(now)[0]
@@ -206,7 +208,7 @@
 		w.suspend(2 * time.Second)
 		tell()
 	}
-	// After so long the configuration has to be proved anew first.
+	// After that time the configuration must first be proved anew.
 	w.await(func() bool {
 		tell()
 		return w.call("/write/1").Status == 200
--- a/internal/edge/gatewayd/limits.go
+++ b/internal/edge/gatewayd/limits.go
@@ -8,24 +8,24 @@
 	"github.com/gladegauge/gladegauge/internal/edge/program"
 )
 
-// limitsPatience is how long the start waits for a configuration, which names
-// the bounds of callers' connections, before these are taken.
-const limitsPatience = 2 * time.Second
+// configWaitTimeout is how long the start waits for a configuration, which names the
+// limits of callers' connections, before it uses the default limits.
+const configWaitTimeout = 2 * time.Second
 
-// proofPatience is how long it waits then for the proof that the configuration is the
-// newest: a few calls to the store or to another gateway. Callers give a connection
-// that is not read up after a second.
-const proofPatience = 400 * time.Millisecond
+// proofWaitTimeout is how long the start then waits for the proof that the configuration
+// is the newest. It is enough for a few calls to the store or to another gateway. Callers
+// give up on a connection that is not read after a second.
+const proofWaitTimeout = 400 * time.Millisecond
 
-// awaitLimits takes the bounds of callers' connections from the first
-// configuration. Later ones hold from the next start on. It waits a moment longer for
-// the proof that the configuration is the newest: callers whose connections wait to be
-// accepted are served then, and would be told to come back before.
+// awaitLimits applies the limits of callers' connections from the first configuration.
+// Later ones take effect at the next start. It then waits a little for the proof that the
+// configuration is the newest: without it, callers whose connections wait to be accepted
+// would be told to retry later.
 func (s *Server) awaitLimits(ctx context.Context, server *http.Server) {
-	ctx, cancel := context.WithTimeout(ctx, limitsPatience)
+	ctx, cancel := context.WithTimeout(ctx, configWaitTimeout)
 	defer cancel()
 	if err := program.WaitUntil(ctx, func() bool { return s.view.Load().Table != nil }); err != nil {
-		s.log.Warn().Dur("waited", limitsPatience).Msg("no configuration yet; callers' connections get the default bounds")
+		s.log.Warn().Dur("waited", configWaitTimeout).Msg("no configuration yet; callers' connections get the default limits")
 		return
 	}
 	s.awaitProof(ctx)
@@ -41,11 +41,12 @@
 	}
 }
 
-// awaitProof waits until the configuration is proved to be the newest, for a moment.
+// awaitProof waits until the configuration is proved to be the newest, or until the
+// timeout.
 func (s *Server) awaitProof(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, proofPatience)
+	ctx, cancel := context.WithTimeout(ctx, proofWaitTimeout)
 	defer cancel()
 	if err := program.WaitUntil(ctx, func() bool { return !s.view.Load().NewestAt.IsZero() }); err != nil {
-		s.log.Warn().Dur("waited", proofPatience).Msg("no proof yet that the configuration is the newest; callers are accepted all the same")
+		s.log.Warn().Dur("waited", proofWaitTimeout).Msg("no proof yet that the configuration is the newest; accepting callers anyway")
 	}
 }
--- a/internal/edge/gatewayd/listen.go
+++ b/internal/edge/gatewayd/listen.go
@@ -18,28 +18,29 @@
 	"github.com/gladegauge/gladegauge/platform"
 )
 
-// Bounds of callers' connections until a configuration names others.
+// Limits of callers' connections until a configuration names others.
 const (
 	defaultHeaderBytes   = 64 << 10
 	defaultHeaderTimeout = 3 * time.Second
 	defaultIdleTimeout   = 15 * time.Second
 )
 
-// thousandths are those of a core, in which gateways tell what their hosts give them.
-const thousandths = 1000
+// millicoresPerCore converts the capacity of a host to the unit in which gateways report
+// it.
+const millicoresPerCore = 1000
 
 // listeners are the open ports of a gateway.
 type listeners struct {
 	callers   net.Listener
 	readiness net.Listener
-	// metrics is nil if nobody is to read them, peers if the settings name no
-	// address for other gateways.
+	// metrics is nil if no metrics are served, and peers if the settings name no address
+	// for other gateways.
 	metrics net.Listener
 	peers   net.Listener
 	servers []*http.Server
 }
 
-// Listen opens the ports. It comes before Run.
+// Listen opens the ports. It must be called before Run.
 func (s *Server) Listen() error {
 	l := &listeners{}
 	var err error
@@ -66,27 +67,26 @@
 	return nil
 }
 
-// member is this gateway as the others know it.
+// member returns this gateway as a member of the fleet.
 func (s *Server) member(address string) fleet.Member {
 	return fleet.Member{
 		Address:  address,
 		Zone:     s.o.Settings.Zone,
 		Start:    uint64(s.now().UnixNano()),
-		Capacity: count32(int(thousandths * s.o.Settings.Cores)),
+		Capacity: clampUint32(int(millicoresPerCore * s.o.Settings.Cores)),
 	}
 }
 
-// CallersAddress returns where callers are served.
+// CallersAddress returns the address for callers.
 func (s *Server) CallersAddress() string { return s.listeners.callers.Addr().String() }
 
-// ReadinessAddress returns where readiness is told.
+// ReadinessAddress returns the address of the readiness check.
 func (s *Server) ReadinessAddress() string { return s.listeners.readiness.Addr().String() }
 
-// PeersAddress returns where other gateways are served; the settings must name an
-// address for it.
+// PeersAddress returns the address for other gateways, which the settings must name.
 func (s *Server) PeersAddress() string { return s.listeners.peers.Addr().String() }
 
-// open opens one port and logs where.
+// open opens one port and logs its address.
 func (s *Server) open(name, address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -96,11 +96,11 @@
 	return l, nil
 }
 
-// serve starts the servers. Readiness is told from the start; callers wait until
-// the bounds of their connections are known.
+// serve starts the servers. Readiness is served from the start, while callers wait until
+// the limits of their connections are known.
 func (l *listeners) serve(ctx context.Context, group *errgroup.Group, s *Server) {
 	ready := http.NewServeMux()
-	ready.HandleFunc(platform.ReadyPath, s.answerReady)
+	ready.HandleFunc(platform.ReadyPath, s.serveReadiness)
 	readiness := l.server(ready)
 	group.Go(func() error { return l.run(readiness, l.readiness) })
 	if l.metrics != nil {
@@ -122,7 +122,7 @@
 	})
 }
 
-// server returns a server with the default bounds, which close ends.
+// server returns a server with the default limits, to be closed by close.
 func (l *listeners) server(h http.Handler) *http.Server {
 	server := &http.Server{
 		Handler:           h,
@@ -134,7 +134,7 @@
 	return server
 }
 
-// run serves until close.
+// run serves until close is called.
 func (l *listeners) run(server *http.Server, nl net.Listener) error {
 	if err := server.Serve(nl); !errors.Is(err, http.ErrServerClosed) {
 		return errors.WithStack(err)
@@ -142,19 +142,19 @@
 	return nil
 }
 
-// close ends every server, with the connections that it still has.
+// close closes every server and its remaining connections.
 func (l *listeners) close() {
 	for _, server := range l.servers {
 		_ = server.Close()
 	}
 }
 
-// handler takes every path: the configuration decides what there is.
+// handler accepts every path, because the configuration defines the routes.
 func (s *Server) handler() http.Handler {
 	e := echo.New()
 	e.HideBanner = true
 	e.Any("/*", s.serve)
-	// Methods that echo does not list come here.
+	// This covers methods that echo does not list.
 	e.RouteNotFound("/*", s.serve)
 	return e
 }
--- a/internal/edge/gatewayd/load_messages.go
+++ b/internal/edge/gatewayd/load_messages.go
@@ -5,31 +5,31 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// encodeLoads returns the message of loads.
+// encodeLoads converts loads to their message.
 func encodeLoads(loads occupancy.Loads) []*gladegaugev1.UpstreamLoad {
 	list := make([]*gladegaugev1.UpstreamLoad, 0, len(loads))
 	for id, l := range loads {
 		list = append(list, &gladegaugev1.UpstreamLoad{
 			Upstream:  id,
-			Requests:  count32(l.Requests),
-			Tight:     count32(l.Tight),
-			Unread:    count32(l.Unread),
-			Tokens:    count32(l.Tokens),
-			Overdue:   count32(l.Overdue),
+			Requests:  clampUint32(l.Requests),
+			Tight:     clampUint32(l.Tight),
+			Unread:    clampUint32(l.Unread),
+			Tokens:    clampUint32(l.Tokens),
+			Overdue:   clampUint32(l.Overdue),
 			OverdueMs: float32(l.OverdueMs),
-			Tempos:    count32(l.Tempos),
+			Tempos:    clampUint32(l.Tempos),
 			Tempo:     float32(l.Tempo),
 			Strain:    float32(l.Strain),
-			Longests:  count32(l.Longests),
+			Longests:  clampUint32(l.Longests),
 			Longest:   float32(l.Longest),
-			Strains:   count32(l.Strains),
-			Gone:      count32(l.Gone),
-			Closed:    count32(l.Closed),
-			Limited:   count32(l.Limited),
+			Strains:   clampUint32(l.Strains),
+			Gone:      clampUint32(l.Gone),
+			Closed:    clampUint32(l.Closed),
+			Limited:   clampUint32(l.Limited),
 			LimitLog:  float32(l.LimitLog),
-			Free:      count32(l.Free),
-			Failing:   count32(l.Failing),
-			Served:    count32(l.Served),
+			Free:      clampUint32(l.Free),
+			Failing:   clampUint32(l.Failing),
+			Served:    clampUint32(l.Served),
 		})
 	}
 	return list
@@ -64,11 +64,11 @@
 	return loads
 }
 
-// encodeParts returns the message of parts.
+// encodeParts converts parts to their message.
 func encodeParts(parts []occupancy.Part) []*gladegaugev1.KeptPart {
 	list := make([]*gladegaugev1.KeptPart, len(parts))
 	for i, p := range parts {
-		list[i] = &gladegaugev1.KeptPart{Upstream: p.Upstream, Key: p.Key, Tokens: count32(p.Tokens), Read: p.Read}
+		list[i] = &gladegaugev1.KeptPart{Upstream: p.Upstream, Key: p.Key, Tokens: clampUint32(p.Tokens), Read: p.Read}
 	}
 	return list
 }
--- a/internal/edge/gatewayd/loads.go
+++ b/internal/edge/gatewayd/loads.go
@@ -14,69 +14,71 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// tellTimeout bounds a word: a later answer would say little.
-const tellTimeout = 250 * time.Millisecond
+// reportTimeout bounds a load report. A later answer would be out of date.
+const reportTimeout = 250 * time.Millisecond
 
-// beyondCell is the name under which the relay of a cell keeps what the relay of its zone
-// told it. It is no zone's.
-const beyondCell = "/beyond"
+// outsideCell is the name under which the relay of a cell records what it gets from the
+// relay of its zone. No zone has this name.
+const outsideCell = "/beyond"
 
-// tellLoop tells, again and again, what there is at the upstreams: the relay of an
-// availability zone tells those of the others what its zone has, the relay of a cell
-// tells that of its zone what its cell has, and everybody else tells a relay.
-func (s *Server) tellLoop(ctx context.Context) error {
+// reportLoop reports the load at the upstreams at intervals. The relay of an availability
+// zone exchanges the sum of its zone with the relays of other zones, the relay of a cell
+// reports the sum of its cell to the relay of its zone, and all other gateways report to a
+// relay.
+func (s *Server) reportLoop(ctx context.Context) error {
 	pause := occupancy.BaseInterval
 	for loop.Pause(ctx, pause) {
-		var duty fleet.AggregationRole
-		var pace occupancy.Intervals
+		var role fleet.AggregationRole
+		var intervals occupancy.Intervals
 		s.control.Must(func(now time.Time) {
-			duty = s.fleet.AggregationRole(now)
-			pace = occupancy.IntervalsFor(s.fleet.ZoneSize(now), s.fleet.CellSize(now), s.table.Busy(now))
-			s.occupancy.SetIntervals(pace)
+			role = s.fleet.AggregationRole(now)
+			intervals = occupancy.IntervalsFor(s.fleet.ZoneSize(now), s.fleet.CellSize(now), s.table.Busy(now))
+			s.occupancy.SetIntervals(intervals)
 		})
 		switch {
-		case duty.ReportTo == "":
-			pause = pace.Zones
-			s.tellRelays(ctx, pace.Zones)
-		case duty.Aggregates:
-			pause = pace.Cells
-			s.tellZoneRelay(ctx, duty.ReportTo)
+		case role.ReportTo == "":
+			pause = intervals.Zones
+			s.exchangeWithRelays(ctx, intervals.Zones)
+		case role.Aggregates:
+			pause = intervals.Cells
+			s.reportToZoneRelay(ctx, role.ReportTo)
 		default:
-			pause = pace.Members
-			s.tellRelay(ctx, duty.ReportTo)
+			pause = intervals.Members
+			s.reportToRelay(ctx, role.ReportTo)
 		}
 	}
 	return nil
 }
 
-// tellZoneRelay tells the relay of the availability zone what the gateways of this cell
-// have, and takes what all others have.
-func (s *Server) tellZoneRelay(ctx context.Context, address string) {
+// reportToZoneRelay reports the load of this cell to the relay of the availability zone,
+// and applies the load of all others from its answer.
+func (s *Server) reportToZoneRelay(ctx context.Context, address string) {
 	req := &gladegaugev1.TellLoadsRequest{Gateway: s.PeersAddress()}
 	s.control.Must(func(now time.Time) {
-		s.takeOwn(now)
-		s.kept.Add(s.PeersAddress(), s.table.News())
-		req.Gateways = count32(s.fleet.CellSize(now))
+		s.recordOwn(now)
+		s.partLog.Add(s.PeersAddress(), s.table.News())
+		req.Gateways = clampUint32(s.fleet.CellSize(now))
 		req.Loads = encodeLoads(s.occupancy.Zone(now))
-		req.Parts = encodeParts(s.kept.ForOtherZone(address))
+		req.Parts = encodeParts(s.partLog.ForOtherZone(address))
 		req.Suspects = s.suspects.Tell(now, address, false)
 	})
-	resp, ok := s.tell(ctx, address, req)
+	resp, ok := s.sendLoads(ctx, address, req)
 	if !ok {
 		return
 	}
-	s.control.Must(func(now time.Time) { s.takeAnswer(now, address, beyondCell, resp) })
+	s.control.Must(func(now time.Time) { s.applyRelayAnswer(now, address, outsideCell, resp) })
 }
 
-// tellRelay tells the relay what this gateway has, and takes what all others have.
-func (s *Server) tellRelay(ctx context.Context, address string) {
+// reportToRelay reports the load of this gateway to the relay, and applies the load of all
+// others from its answer.
+func (s *Server) reportToRelay(ctx context.Context, address string) {
 	req := &gladegaugev1.TellLoadsRequest{Gateway: s.PeersAddress()}
 	s.control.Must(func(now time.Time) {
 		req.Loads = encodeLoads(s.table.Loads(now))
 		req.Parts = encodeParts(s.table.News())
 		req.Suspects = s.suspects.Tell(now, address, true)
 	})
-	resp, ok := s.tell(ctx, address, req)
+	resp, ok := s.sendLoads(ctx, address, req)
 	if !ok {
 		return
 	}
@@ -84,58 +86,58 @@
 		s.occupancy.RecordOthers(now, decodeLoads(resp.GetLoads()))
 		s.table.OthersRead(now, decodeParts(resp.GetParts()))
 		s.suspects.Hear(now, address, resp.GetSuspects(), 0)
-		s.takeOthers(now, false)
+		s.applyOthers(now, false)
 	})
 }
 
-// tellRelays tells the other relays what the gateways of this availability zone
-// have, and takes what theirs have. Those that have just asked know it.
-func (s *Server) tellRelays(ctx context.Context, every time.Duration) {
-	var to []string
+// exchangeWithRelays reports the load of this availability zone to the other relays, and
+// applies the loads of their zones. Relays that have just called are skipped.
+func (s *Server) exchangeWithRelays(ctx context.Context, every time.Duration) {
+	var targets []string
 	s.control.Must(func(now time.Time) {
 		for _, r := range s.fleet.Relays(now) {
 			if !s.occupancy.RecentlyExchanged(now, r.Zone, every) {
-				to = append(to, r.Address)
+				targets = append(targets, r.Address)
 			}
 		}
-		s.takeOwn(now)
-		s.kept.Add(s.PeersAddress(), s.table.News())
-		s.takeOthers(now, true)
+		s.recordOwn(now)
+		s.partLog.Add(s.PeersAddress(), s.table.News())
+		s.applyOthers(now, true)
 	})
-	for _, address := range to {
+	for _, address := range targets {
 		req := &gladegaugev1.TellLoadsRequest{Gateway: s.PeersAddress(), Zone: s.o.Settings.Zone}
 		s.control.Must(func(now time.Time) {
 			req.Loads = encodeLoads(s.occupancy.Zone(now))
-			req.Parts = encodeParts(s.kept.ForOtherZone(address))
+			req.Parts = encodeParts(s.partLog.ForOtherZone(address))
 			req.Suspects = s.suspects.Tell(now, address, false)
 		})
-		resp, ok := s.tell(ctx, address, req)
+		resp, ok := s.sendLoads(ctx, address, req)
 		if !ok {
 			continue
 		}
-		s.control.Must(func(now time.Time) { s.takeAnswer(now, address, resp.GetZone(), resp) })
+		s.control.Must(func(now time.Time) { s.applyRelayAnswer(now, address, resp.GetZone(), resp) })
 	}
 }
 
-// takeAnswer takes what another relay answered, as the word of the availability zone. It
-// runs in the control goroutine.
-func (s *Server) takeAnswer(now time.Time, address, zone string, resp *gladegaugev1.TellLoadsResponse) {
+// applyRelayAnswer applies the answer of another relay as the report of the availability
+// zone. It runs in the control goroutine.
+func (s *Server) applyRelayAnswer(now time.Time, address, zone string, resp *gladegaugev1.TellLoadsResponse) {
 	s.occupancy.RecordZone(now, zone, decodeLoads(resp.GetLoads()))
-	s.takePartsOfZone(now, decodeParts(resp.GetParts()))
+	s.applyZoneParts(now, decodeParts(resp.GetParts()))
 	s.suspects.Hear(now, address, resp.GetSuspects(), 0)
-	s.takeOthers(now, true)
+	s.applyOthers(now, true)
 }
 
-// takePartsOfZone takes the parts that another availability zone told of, and passes
+// applyZoneParts applies the parts that another availability zone reported, and passes
 // them on. It runs in the control goroutine.
-func (s *Server) takePartsOfZone(now time.Time, parts []occupancy.Part) {
+func (s *Server) applyZoneParts(now time.Time, parts []occupancy.Part) {
 	s.table.OthersRead(now, parts)
-	s.kept.Add("", parts)
+	s.partLog.Add("", parts)
 }
 
-// tell calls one gateway. It reports false if there was no answer.
-func (s *Server) tell(ctx context.Context, address string, req *gladegaugev1.TellLoadsRequest) (*gladegaugev1.TellLoadsResponse, bool) {
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+// sendLoads calls one gateway. It returns false if there was no answer.
+func (s *Server) sendLoads(ctx context.Context, address string, req *gladegaugev1.TellLoadsRequest) (*gladegaugev1.TellLoadsResponse, bool) {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	resp, err := s.peer(address).TellLoads(ctx, connect.NewRequest(req))
 	s.metrics.peerCall("tell_loads", err)
@@ -146,44 +148,45 @@
 	return resp.Msg, true
 }
 
-// takeOthers lets the choice of upstreams see what other gateways have. It runs in
-// the control goroutine.
-func (s *Server) takeOthers(now time.Time, relay bool) {
+// applyOthers makes the load of other gateways available to the selection of upstreams. It
+// runs in the control goroutine.
+func (s *Server) applyOthers(now time.Time, relay bool) {
 	if loads, ok := s.occupancy.Others(now, relay); ok {
-		doubts := s.table.OthersHave(now, balance.Picture{
+		changes := s.table.OthersHave(now, balance.Picture{
 			Loads:    loads,
 			Age:      s.occupancy.Age(),
 			Keep:     s.occupancy.Keep(),
 			Gateways: s.fleet.Size(now),
 		})
-		if doubts.Spoken {
+		if changes.Spoken {
 			s.publishClosed(now)
 		}
-		for _, l := range doubts.Limited {
+		for _, l := range changes.Limited {
 			s.log.Info().Str("upstream", l.ID).Bool("limited", l.Announced).Float64("per_second", l.PerSecond).
 				Int("named_to", l.Votes.Limited).Int("free_to", l.Votes.Free).Dur("told_age", s.occupancy.Age()).
-				Msg("limit of an upstream changes by the word of others")
+				Msg("limit of an upstream changed by reports of other gateways")
 		}
-		for _, h := range doubts.Hanging {
+		for _, h := range changes.Hanging {
 			s.log.Info().Str("upstream", h.ID).Dur("waited", h.Waited).Msg("prompt hangs")
 		}
-		for _, o := range doubts.Outvoted {
+		for _, o := range changes.Outvoted {
 			s.log.Info().Str("upstream", o.ID).Int("against", o.Failing).Int("for", o.Served).Dur("last_for", o.For).
-				Dur("told_age", s.occupancy.Age()).Msg("upstream put last by votes")
+				Dur("told_age", s.occupancy.Age()).Msg("upstream demoted by votes")
 		}
 	}
 }
 
-// takeOwn lets the sums see what this gateway itself has. A relay is told of others' more
-// often than that changes much. It runs in the control goroutine.
-func (s *Server) takeOwn(now time.Time) {
-	if now.Sub(s.ownAt) >= occupancy.BaseInterval {
-		s.ownAt = now
+// recordOwn adds the load of this gateway to the sums. A relay receives reports more often
+// than that load changes much, so that it is updated at most once per BaseInterval.
+// It runs in the control goroutine.
+func (s *Server) recordOwn(now time.Time) {
+	if now.Sub(s.ownLoadAt) >= occupancy.BaseInterval {
+		s.ownLoadAt = now
 		s.occupancy.SetOwn(s.table.Loads(now))
 	}
 }
 
-// TellLoads takes the word of another gateway, and answers with what it does not
+// TellLoads applies the report of another gateway, and answers with what that one does not
 // know.
 func (s *Server) TellLoads(_ context.Context, req *connect.Request[gladegaugev1.TellLoadsRequest]) (*connect.Response[gladegaugev1.TellLoadsResponse], error) {
 	resp := &gladegaugev1.TellLoadsResponse{Zone: s.o.Settings.Zone}
@@ -191,20 +194,20 @@
 	loads := decodeLoads(req.Msg.GetLoads())
 	parts := decodeParts(req.Msg.GetParts())
 	s.control.Must(func(now time.Time) {
-		s.takeOwn(now)
+		s.recordOwn(now)
 		if zone := req.Msg.GetZone(); zone != "" {
 			s.occupancy.RecordZone(now, zone, loads)
-			s.takePartsOfZone(now, parts)
+			s.applyZoneParts(now, parts)
 			s.suspects.Hear(now, from, req.Msg.GetSuspects(), 0)
 			resp.Suspects = s.suspects.Tell(now, from, false)
 			resp.Loads = encodeLoads(s.occupancy.Zone(now))
-			resp.Parts = encodeParts(s.kept.ForOtherZone(from))
+			resp.Parts = encodeParts(s.partLog.ForOtherZone(from))
 			return
 		}
 		s.table.OthersRead(now, parts)
 		if !s.fleet.IsNeighbour(now, from) {
-			// A gateway that tells several relays would be as many witnesses: one that lied
-			// put a sound replica last for 1, 2 and 4 s, one after the other.
+			// A gateway that reports to several relays would count as several witnesses: a
+			// faulty one got a healthy replica ranked last for 1, 2 and 4 s in succession.
 			loads = loads.WithoutVotes()
 		}
 		witness := xxhash.Sum64String(from)
@@ -214,11 +217,11 @@
 		} else {
 			s.occupancy.RecordMember(now, from, loads)
 		}
-		s.kept.Add(from, parts)
+		s.partLog.Add(from, parts)
 		s.suspects.Hear(now, from, req.Msg.GetSuspects(), witness)
 		resp.Suspects = s.suspects.Tell(now, from, false)
 		resp.Loads = encodeLoads(s.occupancy.For(now, from))
-		resp.Parts = encodeParts(s.kept.For(from))
+		resp.Parts = encodeParts(s.partLog.For(from))
 	})
 	return connect.NewResponse(resp), nil
 }
--- a/internal/edge/gatewayd/loads_test.go
+++ b/internal/edge/gatewayd/loads_test.go
@@ -17,10 +17,10 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// tellWorld is three gateways in two availability zones, and two replicas.
-func tellWorld(t *testing.T) (*world, []*testPeer) {
+// newLoadsEnv starts three gateways in two availability zones, and two replicas.
+func newLoadsEnv(t *testing.T) (*testEnv, []*testPeer) {
 	t.Helper()
-	w := &world{t: t, is: is.New(t), store: standin.NewStore(t)}
+	w := &testEnv{t: t, is: is.New(t), store: standin.NewStore(t)}
 	cfg := configuration(1)
 	cfg.Engines = true
 	w.store.PutConfig(cfg)
@@ -47,7 +47,7 @@
 	return w, peers
 }
 
-// pickOn lets the gateway send a prompt somewhere.
+// pickOn picks an upstream for a prompt on the gateway.
 func pickOn(p *testPeer, own uint64) balance.Choice {
 	var c balance.Choice
 	r := balance.Request{Pool: "app", Route: "note", Prompt: balance.Prompt{
@@ -58,8 +58,8 @@
 	return c
 }
 
-// othersAt is the number of requests that other gateways have at the upstream, as
-// far as this one knows.
+// othersAt returns the number of requests that other gateways have at the upstream, as far
+// as this gateway knows.
 func othersAt(p *testPeer, c balance.Choice) int {
 	n := 0
 	p.control.Must(func(now time.Time) {
@@ -70,43 +70,43 @@
 	return n
 }
 
-// What one gateway has at an upstream, and which parts are kept there, reaches the
-// gateways of its zone and of other zones; so does its end.
-func TestLoadsReachEverybody(t *testing.T) {
-	w, peers := tellWorld(t)
+// The load of a gateway at an upstream, and the prompt parts that are cached there, reach
+// the gateways of its zone and of other zones. The end of a request reaches them too.
+func TestLoadsReachAllGateways(t *testing.T) {
+	w, peers := newLoadsEnv(t)
 	c := pickOn(peers[0], 100)
 	for _, p := range peers[1:] {
 		w.await(func() bool { return othersAt(p, c) == 1 })
 	}
-	// Two words may overtake each other: the load of one, the part of the other. A
-	// relay passes on what it was told, also to a gateway that is not there.
+	// Two reports may overtake each other: the load in one, the part in the other. A relay
+	// passes on what was reported to it, also to a gateway it does not know.
 	w.await(func() bool {
 		told := 0
-		peers[2].control.Must(func(time.Time) { told = len(peers[2].kept.For("nobody")) })
+		peers[2].control.Must(func(time.Time) { told = len(peers[2].partLog.For("nobody")) })
 		return told > 0
 	})
 	next := pickOn(peers[2], 200)
-	w.is.Equal(next.ID, c.ID) // the shared part is on its way there
+	w.is.Equal(next.ID, c.ID) // the shared part is being read there
 	w.is.Equal(next.Unread, 3000)
 	w.await(func() bool { return othersAt(peers[0], c) == 1 && othersAt(peers[1], c) == 2 })
 	peers[0].control.Must(func(now time.Time) { peers[0].table.Ended(now, c, balance.Completed, balance.Answer{Tokens: 10}) })
 	w.await(func() bool { return othersAt(peers[1], c) == 1 && othersAt(peers[2], c) == 0 })
 }
 
-// A gateway that is gone takes its loads with it.
-func TestLoadsOfAGatewayThatIsGone(t *testing.T) {
-	w, peers := tellWorld(t)
+// The load of a gateway that is gone is dropped.
+func TestLoadsOfStoppedGateway(t *testing.T) {
+	w, peers := newLoadsEnv(t)
 	c := pickOn(peers[1], 100)
 	w.await(func() bool { return othersAt(peers[2], c) == 1 })
 	peers[1].stop()
 	w.await(func() bool { return othersAt(peers[2], c) == 0 })
 }
 
-// Messages that come late, twice or out of order change nothing for long: the
-// newest word of a gateway counts, and no word adds to another.
-func TestRepeatedWords(t *testing.T) {
+// Reports that arrive late, twice or out of order have no lasting effect: the latest
+// report of a gateway counts, and reports do not add up.
+func TestRepeatedReports(t *testing.T) {
 	is := is.New(t)
-	w, peers := tellWorld(t)
+	w, peers := newLoadsEnv(t)
 	p := peers[2]
 	told := func(n uint32) {
 		_, err := p.TellLoads(context.Background(), connect.NewRequest(&gladegaugev1.TellLoadsRequest{
@@ -127,10 +127,10 @@
 	})
 }
 
-// Only the relay of a cell speaks for several gateways; any other one that claims so is
-// one witness.
-func TestWhoSpeaksForSeveral(t *testing.T) {
-	w := &world{t: t, is: is.New(t), store: standin.NewStore(t)}
+// Only the relay of a cell reports for several gateways. Any other gateway that claims to
+// do so counts as one witness.
+func TestOnlyCellRelaysReportForSeveral(t *testing.T) {
+	w := &testEnv{t: t, is: is.New(t), store: standin.NewStore(t)}
 	w.store.PutConfig(configuration(1))
 	p := startPeer(t, w.store)
 	const upstream, gone = 7, 5
@@ -141,15 +141,15 @@
 	p.control.Must(func(now time.Time) { p.fleet.Merge(now, members) })
 	relays := 0
 	for _, m := range members {
-		var speaks bool
-		p.control.Must(func(now time.Time) { speaks = p.fleet.IsCellRelay(now, m.Address) })
+		var isRelay bool
+		p.control.Must(func(now time.Time) { isRelay = p.fleet.IsCellRelay(now, m.Address) })
 		_, err := p.TellLoads(context.Background(), connect.NewRequest(&gladegaugev1.TellLoadsRequest{
 			Gateway: m.Address, Gateways: fleet.MaxCellSize,
 			Loads: []*gladegaugev1.UpstreamLoad{{Upstream: upstream, Gone: gone}},
 		}))
 		w.is.NoErr(err)
 		want := 1
-		if speaks {
+		if isRelay {
 			want = gone
 			relays++
 		}
--- a/internal/edge/gatewayd/messages_test.go
+++ b/internal/edge/gatewayd/messages_test.go
@@ -10,8 +10,8 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// An entry that passed through other gateways is as old as it is: what it says of a
-// cold upstream is over for whoever reads it late.
+// An entry that passes through other gateways keeps its age, so that a report of a cold
+// upstream has expired for a gateway that receives it late.
 func TestEntriesKeepTheirAge(t *testing.T) {
 	is := is.New(t)
 	read := time.Unix(1000, 0)
--- a/internal/edge/gatewayd/meters.go
+++ b/internal/edge/gatewayd/metrics.go
@@ -10,16 +10,16 @@
 	"github.com/gladegauge/gladegauge/internal/edge/metrics"
 )
 
-// family is that of the gateway. Its times are in seconds, from a short call to
-// a long stream.
+// family is the metric family of the gateway. Its buckets are in seconds, from a short
+// call to a long stream.
 var family = metrics.Family{
 	Namespace: "gladegauge_gateway",
 	Buckets:   []float64{0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2, 4, 8, 16},
 }
 
-// meters are the metrics of a gateway. Routes and upstreams come and go, so
-// neither is a label.
-type meters struct {
+// serverMetrics are the metrics of a gateway. Routes and upstreams come and go, so neither
+// is a label.
+type serverMetrics struct {
 	registry    *prometheus.Registry
 	requests    *prometheus.CounterVec
 	refusals    *prometheus.CounterVec
@@ -33,31 +33,30 @@
 	continues   prometheus.Counter
 	faults      prometheus.Counter
 	version     prometheus.Gauge
-	// epoch and revision are how far the store is known.
+	// epoch and revision are the position in the store up to which it is known.
 	epoch     prometheus.Gauge
 	revision  prometheus.Gauge
 	upstreams prometheus.Gauge
-	// zoneAttempts and zoneUpstreams tell from outside which availability zones take
-	// the work.
+	// zoneAttempts and zoneUpstreams show which availability zones take the load.
 	zoneAttempts  *prometheus.CounterVec
 	zoneUpstreams *prometheus.GaugeVec
 	peerCalls     *prometheus.CounterVec
 	peerBytes     *prometheus.CounterVec
 	gateways      prometheus.Gauge
-	// ends are the upstreams that this gateway found ended.
+	// ends counts the upstreams that this gateway found ended.
 	ends prometheus.Counter
-	// notices are what upstreams said of themselves in their answers, by kind.
+	// notices counts what upstreams reported about themselves in their answers, by kind.
 	notices *prometheus.CounterVec
-	// retriesDenied are attempts that could have followed, but for the retry budget.
+	// retriesDenied counts retries that the retry budget did not allow.
 	retriesDenied prometheus.Counter
-	// limited are the upstreams with a limit.
+	// limited is the number of upstreams with a limit.
 	limited prometheus.Gauge
-	// suspects are the requests under which upstreams ended, by verdict.
+	// suspects is the number of requests that upstreams crashed under, by verdict.
 	suspects *prometheus.GaugeVec
 }
 
-func newMeters(logsDropped, viewAge func() uint64) *meters {
-	m := &meters{
+func newServerMetrics(logsDropped, viewAge func() uint64) *serverMetrics {
+	m := &serverMetrics{
 		registry:    prometheus.NewRegistry(),
 		requests:    family.Counters("requests_total", "Requests by kind and result.", "kind", "result"),
 		refusals:    family.Counters("refusals_total", "Requests refused by the gateway, by reason.", "reason"),
@@ -67,11 +66,11 @@
 		firstByte:   family.Histograms("first_byte_seconds", "Time to the first event or to the answer's head.", "kind"),
 		completion:  family.Histograms("completion_seconds", "Time to the complete answer.", "kind"),
 		connections: family.Counter("connections_total", "Connections opened to upstreams."),
-		resumes:     family.Counter("resumes_total", "Streams taken up by another upstream."),
-		continues:   family.Counter("continues_total", "Streams continued from a copy of their run's memory."),
+		resumes:     family.Counter("resumes_total", "Streams resumed by another upstream."),
+		continues:   family.Counter("continues_total", "Streams continued from a backup of their run's memory."),
 		faults:      family.Counter("store_faults_total", "Published values that could not be read."),
 		version:     family.Gauge("configuration_version", "Version of the configuration in force."),
-		epoch:       family.Gauge("store_epoch", "Epoch of the store, which rises when it comes back from a copy."),
+		epoch:       family.Gauge("store_epoch", "Epoch of the store, which rises when it is restored from a copy."),
 		revision:    family.Gauge("store_revision", "Revision of the store, in its epoch, up to which everything is known."),
 		upstreams:   family.Gauge("upstreams", "Upstreams on the list."),
 		zoneAttempts: family.Counters("zone_attempts_total", "Attempts by availability zone of the upstream and outcome.",
@@ -79,12 +78,12 @@
 		zoneUpstreams: family.Gauges("zone_upstreams", "Upstreams on the list by availability zone and state.", "zone", "state"),
 		peerCalls:     family.Counters("peer_calls_total", "Calls to other gateways by kind and result.", "call", "result"),
 		peerBytes:     family.Counters("peer_bytes_total", "Bytes of the bodies of calls to other gateways, by kind and direction.", "call", "direction"),
-		gateways:      family.Gauge("gateways", "Gateways that the retry budget is split over."),
-		notices:       family.Counters("upstream_notices_total", "What upstreams said of themselves in their answers, by kind.", "kind"),
-		retriesDenied: family.Counter("retries_denied_total", "Attempts that were not made as this gateway's part of the retry budget was used up."),
-		limited:       family.Gauge("upstreams_limited", "Upstreams that name a limit of requests a second."),
-		suspects:      family.Gauges("suspects", "Requests under which upstreams ended one after the other, by verdict.", "verdict"),
-		ends:          family.Counter("upstream_ends_total", "Upstreams that were found ended while they were listed."),
+		gateways:      family.Gauge("gateways", "Gateways that share the retry budget."),
+		notices:       family.Counters("upstream_notices_total", "Notices of upstreams about themselves in answers, by kind.", "kind"),
+		retriesDenied: family.Counter("retries_denied_total", "Attempts not made because this gateway's share of the retry budget was used up."),
+		limited:       family.Gauge("upstreams_limited", "Upstreams that announced a limit of requests per second."),
+		suspects:      family.Gauges("suspects", "Requests suspected of crashing upstreams, by verdict.", "verdict"),
+		ends:          family.Counter("upstream_ends_total", "Listed upstreams that were found to have ended."),
 	}
 	m.registry.MustRegister(m.requests, m.refusals, m.attempts, m.storeCalls, m.inTime, m.firstByte,
 		m.completion, m.connections, m.resumes, m.continues, m.faults, m.version, m.epoch, m.revision, m.upstreams, m.peerCalls, m.peerBytes, m.gateways,
@@ -96,12 +95,12 @@
 	return m
 }
 
-func (m *meters) storeCall(call, result string) {
+func (m *serverMetrics) storeCall(call, result string) {
 	m.storeCalls.WithLabelValues(call, result).Inc()
 }
 
 // peerCall counts a call to another gateway.
-func (m *meters) peerCall(call string, err error) {
+func (m *serverMetrics) peerCall(call string, err error) {
 	result := "ok"
 	if err != nil {
 		result = "error"
@@ -109,26 +108,27 @@
 	m.peerCalls.WithLabelValues(call, result).Inc()
 }
 
-// States of the upstreams that are counted by zone.
+// States of the upstreams that are counted by availability zone.
 const (
 	stateReady   = "ready"
 	stateLeaving = "leaving"
-	// stateSaysLeaving is of those that are listed as ready, and said in an answer that
-	// they leave.
+	// stateSaysLeaving is the state of upstreams that are listed as ready but have
+	// announced in an answer that they are leaving.
 	stateSaysLeaving = "says_leaving"
-	// stateEvacuated is of those that get nothing new, as their zone is emptied.
+	// stateEvacuated is the state of upstreams that get no new requests because their
+	// availability zone is evacuated.
 	stateEvacuated = "evacuated"
 )
 
-// attempt counts one that ended.
-func (m *meters) attempt(c balance.Choice, o balance.Outcome) {
+// attempt counts an attempt that ended.
+func (m *serverMetrics) attempt(c balance.Choice, o balance.Outcome) {
 	m.attempts.WithLabelValues(o.String()).Inc()
 	m.zoneAttempts.WithLabelValues(c.Zone, o.String()).Inc()
 }
 
-// list counts the upstreams that are listed. SaysLeaving tells which of them said in an
-// answer that they leave.
-func (m *meters) list(list []balance.Instance, saysLeaving func(id string) bool) {
+// list counts the listed upstreams. SaysLeaving reports whether an upstream has announced
+// in an answer that it is leaving.
+func (m *serverMetrics) list(list []balance.Instance, saysLeaving func(id string) bool) {
 	m.upstreams.Set(float64(len(list)))
 	m.zoneUpstreams.Reset()
 	for _, in := range list {
@@ -145,16 +145,16 @@
 	}
 }
 
-// ageOf is the age of what the configuration in force was proved to be the newest at,
-// in whole milliseconds; 0 without a proof.
-func ageOf(v *ingress.View, now time.Time) uint64 {
+// viewAgeMs returns the time since the configuration in force was last proved to be the
+// newest, in whole milliseconds; 0 without a proof.
+func viewAgeMs(v *ingress.View, now time.Time) uint64 {
 	if v.Table == nil || v.NewestAt.IsZero() {
 		return 0
 	}
 	return uint64(max(0, v.Age(now).Milliseconds()))
 }
 
-// observe takes the time of one answer.
+// observe records the duration of one answer.
 func observe(h *prometheus.HistogramVec, kind string, d time.Duration) {
 	h.WithLabelValues(kind).Observe(d.Seconds())
 }
--- a/internal/edge/gatewayd/meters_test.go
+++ b/internal/edge/gatewayd/metrics_test.go
@@ -9,11 +9,11 @@
 	"github.com/gladegauge/gladegauge/internal/core/balance"
 )
 
-// From outside one sees in which availability zones upstreams are listed and take
-// work, and how old the proof of the configuration is.
-func TestZonesInMetrics(t *testing.T) {
+// The metrics show in which availability zones upstreams are listed and take load, and how
+// old the proof of the configuration is.
+func TestZoneMetrics(t *testing.T) {
 	is := is.New(t)
-	m := newMeters(nil, func() uint64 { return 1234 })
+	m := newServerMetrics(nil, func() uint64 { return 1234 })
 	saysLeaving := func(id string) bool { return id == "e" }
 	m.list([]balance.Instance{{ID: "a", Zone: "x"}, {ID: "b", Zone: "x", Leaving: true}, {ID: "c", Zone: "y"}}, saysLeaving)
 	m.list([]balance.Instance{{ID: "a", Zone: "x"}, {ID: "d", Zone: "x"}, {ID: "e", Zone: "x"}, {ID: "c", Zone: "y", Leaving: true}}, saysLeaving)
@@ -40,7 +40,7 @@
 	}
 }
 
-// valueOf is the value of a metric; 0 if there is none.
+// valueOf returns the value of a metric; 0 if there is none.
 func valueOf(families []*dto.MetricFamily, name string, labels map[string]string) float64 {
 	for _, f := range families {
 		for _, m := range f.GetMetric() {
--- a/internal/edge/gatewayd/notice.go
+++ b/internal/edge/gatewayd/notice.go
@@ -40,7 +40,7 @@
 		said = s.table.Notice(now, choice.Instance, n)
 		switch {
 		case said.Leaves:
-			s.publish(now, s.roster.Current(now))
+			s.publishUpstreams(now, s.roster.Current(now))
 		case said.Rests, said.Limits:
 			s.publishClosed(now)
 		}
--- a/internal/edge/gatewayd/outage.go
+++ b/internal/edge/gatewayd/outage.go
@@ -8,18 +8,19 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// storeFailed notes that the store did not answer this gateway: it leaves the store to
-// others, and those who follow it learn so at once. It runs in the control goroutine.
+// storeFailed records that the store did not answer this gateway. The gateway then avoids
+// the store for a while, and its followers learn of that at once. It runs in the control
+// goroutine.
 func (s *Server) storeFailed(now time.Time) {
 	s.fleet.StoreFailed(now)
-	s.storeLostAt = now
+	s.ownStoreFailedAt = now
 	s.storeFailedAt = now
 	s.wakeFollowers()
 }
 
-// storeAnswered notes that the store answered this gateway. If a call has failed since
-// what is known was proved, of this gateway or of another one, entries may have lapsed in
-// between. It runs in the control goroutine.
+// storeAnswered records that the store answered this gateway. If a call of this or of
+// another gateway has failed since the state was last proved, entries may have expired in
+// the meantime. It runs in the control goroutine.
 func (s *Server) storeAnswered(now time.Time) {
 	s.fleet.StoreAnswered()
 	view := s.view.Load()
@@ -28,9 +29,9 @@
 	}
 }
 
-// hearOfStore takes what another gateway says of its calls to the store. It runs in the
-// control goroutine.
-func (s *Server) hearOfStore(now time.Time, address string, resp *gladegaugev1.FollowResponse) {
+// recordPeerStoreState records what another gateway reports of its calls to the store. It
+// runs in the control goroutine.
+func (s *Server) recordPeerStoreState(now time.Time, address string, resp *gladegaugev1.FollowResponse) {
 	if ms := resp.GetBackoffMs(); ms > 0 {
 		s.fleet.SetPeerBackoff(now, address, time.Duration(ms)*time.Millisecond)
 	}
@@ -42,18 +43,18 @@
 	}
 }
 
-// unproved is the age that is told of a configuration that nothing proves.
-const unproved = math.MaxInt32
+// unprovedAge is the reported age of a configuration that nothing proves.
+const unprovedAge = math.MaxInt32
 
-// ageToTell is the age of the proof of the configuration in force; nil if there is none in
-// force.
-func (s *Server) ageToTell(now time.Time) *uint32 {
+// proofAge returns the age of the proof of the configuration in force; nil if there is no
+// configuration.
+func (s *Server) proofAge(now time.Time) *uint32 {
 	view := s.view.Load()
 	if view.Table == nil {
 		return nil
 	}
 	if view.NewestAt.IsZero() {
-		age := uint32(unproved)
+		age := uint32(unprovedAge)
 		return &age
 	}
 	return millisecondsSince(now, view.NewestAt)
--- a/internal/edge/gatewayd/outage_test.go
+++ b/internal/edge/gatewayd/outage_test.go
@@ -17,14 +17,15 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// heldPoll is the question of a follower that a gateway holds for long.
+// heldPoll is a query of a follower that a gateway holds.
 type heldPoll struct {
-	w    *world
+	w    *testEnv
 	done chan *gladegaugev1.FollowResponse
 }
 
-// holdPoll asks as a follower whose proof has the age, in milliseconds, and knows every entry.
-func holdPoll(w *world, age uint32) *heldPoll {
+// holdPoll queries the gateway as a follower that knows every entry and whose proof has
+// the given age in milliseconds.
+func holdPoll(w *testEnv, age uint32) *heldPoll {
 	var known feed.Position
 	w.server.control.Must(func(time.Time) {
 		known = w.server.feed.Position()
@@ -32,7 +33,7 @@
 	p := &heldPoll{w: w, done: make(chan *gladegaugev1.FollowResponse, 1)}
 	w.group.Go(func() error {
 		resp, err := w.server.Follow(context.Background(), connect.NewRequest(&gladegaugev1.FollowRequest{
-			Epoch: known.Epoch, Revision: known.Revision, WaitMs: wholeMilliseconds(followWaitMost), AgeMs: &age,
+			Epoch: known.Epoch, Revision: known.Revision, WaitMs: wholeMilliseconds(maxFollowWait), AgeMs: &age,
 		}))
 		if err != nil {
 			return err
@@ -43,25 +44,25 @@
 	return p
 }
 
-// answer returns the answer; it fails if the question was held to its end.
+// answer returns the answer. It fails the test if the query is held until its end.
 func (p *heldPoll) answer() *gladegaugev1.FollowResponse {
 	p.w.t.Helper()
 	select {
 	case resp := <-p.done:
 		return resp
-	case <-time.After(followWaitMost * 3 / 4):
-		p.w.t.Fatal("the question was held")
+	case <-time.After(maxFollowWait * 3 / 4):
+		p.w.t.Fatal("the query was held")
 		return nil
 	}
 }
 
-// A follower hears of a much newer proof at once, and need not wait for its next question
-// at each level of the tree.
-func TestProofIsPassedOnAtOnce(t *testing.T) {
+// A follower receives a much newer proof at once. It does not have to wait for its next
+// query at each level of the tree.
+func TestProofIsPropagatedAtOnce(t *testing.T) {
 	tests := []struct {
 		name string
-		// age is of the follower's proof, in milliseconds, when it asks; newer is by how
-		// much the proof of the gateway is newer than that from then on.
+		// age is the age of the follower's proof at the query, in milliseconds; newer is
+		// by how much the gateway's proof is newer from then on.
 		age   uint32
 		newer time.Duration
 	}{
@@ -70,27 +71,27 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newWorld(t, 1, nil)
+			w := newTestEnv(t, 1, nil)
 			w.store.SetTrouble(standin.Silent)
 			p := holdPoll(w, tt.age)
 			w.server.control.Must(func(now time.Time) {
 				at := now.Add(tt.newer - time.Duration(tt.age)*time.Millisecond)
-				w.server.prove(*w.server.view.Load(), at)
+				w.server.recordProof(*w.server.view.Load(), at)
 			})
 			w.is.Equal(p.answer().GetVersion(), int64(1))
 		})
 	}
 }
 
-// A gateway that loses the store tells its followers at once, and for how long it leaves
-// the store to others.
-func TestLostStoreIsToldOn(t *testing.T) {
-	w := newWorld(t, 1, nil)
+// A gateway that loses the store tells its followers at once, and for how long it avoids
+// the store.
+func TestStoreLossIsPropagated(t *testing.T) {
+	w := newTestEnv(t, 1, nil)
 	w.store.SetTrouble(standin.Silent)
 	p := holdPoll(w, 0)
 	var resp *gladegaugev1.FollowResponse
 	w.await(func() bool {
-		// One that comes before the question is no news to it.
+		// A loss before the query is not reported at once.
 		w.server.control.Must(w.server.storeFailed)
 		select {
 		case resp = <-p.done:
@@ -99,21 +100,21 @@
 			return false
 		}
 	})
-	w.is.True(resp.GetHeldMs() < wholeMilliseconds(followWaitMost))
+	w.is.True(resp.GetHeldMs() < wholeMilliseconds(maxFollowWait))
 	w.is.True(resp.GetBackoffMs() > 0)
 	w.is.True(resp.FailedAgeMs != nil)
 }
 
-// Entries that lapsed in an outage are kept by a gateway that never asked the store in
-// it: others told that their calls failed.
-func TestOutageThatOthersSaw(t *testing.T) {
+// A gateway that did not query the store during an outage also retains entries that
+// expired in it, because others reported that their calls failed.
+func TestOutageSeenByOthers(t *testing.T) {
 	failed := func(ms uint32) *gladegaugev1.FollowResponse {
 		return &gladegaugev1.FollowResponse{FailedAgeMs: &ms}
 	}
 	tests := []struct {
 		name string
 		resp *gladegaugev1.FollowResponse
-		// age is of the proof when the store answers.
+		// age is the age of the proof when the store answers.
 		age  time.Duration
 		kept bool
 	}{
@@ -125,14 +126,14 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, 1, nil)
+			w := newTestEnv(t, 1, nil)
 			w.store.SetTrouble(standin.Silent)
 			w.server.control.Must(func(now time.Time) {
 				w.server.storeFailedAt = time.Time{}
 				view := *w.server.view.Load()
 				view.NewestAt = now.Add(-tt.age)
 				w.server.view.Store(&view)
-				w.server.hearOfStore(now, "10.0.0.9:1", tt.resp)
+				w.server.recordPeerStoreState(now, "10.0.0.9:1", tt.resp)
 				w.server.storeAnswered(now)
 				is.Equal(!w.server.roster.RecoveredAt().IsZero(), tt.kept)
 			})
@@ -140,10 +141,11 @@
 	}
 }
 
-// A follower that cannot take its parent's proof, as it cannot read the configuration that
-// the proof is of, does not ask to be told of it at once again and again.
-func TestProofThatCannotBeTaken(t *testing.T) {
-	w := newWorld(t, 1, nil)
+// A follower that cannot apply its parent's proof, because it cannot decode the
+// configuration that the proof belongs to, stops asking for such proofs at once instead of
+// querying in a loop.
+func TestUnusableProof(t *testing.T) {
+	w := newTestEnv(t, 1, nil)
 	w.store.SetTrouble(standin.Silent)
 	ages := make(chan *uint32, 10)
 	parent := &standinParent{ages: ages}
@@ -153,19 +155,20 @@
 	f := &follower{server: w.server, reader: reader.New(time.Now()), position: feed.Position{Revision: 1}}
 	const held = 500 * time.Millisecond
 	ask := func() *uint32 {
-		f.askPeer(context.Background(), reader.Query{Address: server.Listener.Addr().String(), Wait: held, Timeout: time.Second})
+		f.queryPeer(context.Background(), reader.Query{Address: server.Listener.Addr().String(), Wait: held, Timeout: time.Second})
 		return <-ages
 	}
 	parent.version, parent.held = 1, held
 	w.is.True(ask() != nil)
-	w.is.True(ask() != nil) // nothing came until the end of the wait, as usual
+	w.is.True(ask() != nil) // as usual, nothing came until the end of the wait
 	parent.version, parent.held = 2, 0
 	ask()
 	w.is.True(ask() == nil)
 	w.is.True(ask() == nil)
 }
 
-// standinParent answers at once with a proof of its version.
+// standinParent answers at once with a proof of its version, and claims to have held the
+// query for the time held.
 type standinParent struct {
 	gladegaugev1connect.UnimplementedGatewayServiceHandler
 	version int64
@@ -173,7 +176,7 @@
 	ages    chan *uint32
 }
 
-// Follow answers, and notes the age that it was told.
+// Follow answers, and records the reported age.
 func (p *standinParent) Follow(_ context.Context, req *connect.Request[gladegaugev1.FollowRequest]) (*connect.Response[gladegaugev1.FollowResponse], error) {
 	p.ages <- req.Msg.AgeMs
 	return connect.NewResponse(&gladegaugev1.FollowResponse{
--- a/internal/edge/gatewayd/path_test.go
+++ b/internal/edge/gatewayd/path_test.go
@@ -50,7 +50,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, 2, func(n int, _ standin.Request) standin.Reply {
+			w := newTestEnv(t, 2, func(n int, _ standin.Request) standin.Reply {
 				if n == 0 {
 					return tt.first
 				}
@@ -76,7 +76,7 @@
 
 func TestWhatTheUpstreamGets(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, func(int, standin.Request) standin.Reply { return standin.Reply{Body: "ok"} })
+	w := newTestEnv(t, 1, func(int, standin.Request) standin.Reply { return standin.Reply{Body: "ok"} })
 	long := strings.Repeat("x", 3*keepBodyBytes)
 	ctx := context.Background()
 	a := w.caller.Call(ctx, standin.Request{
@@ -109,7 +109,7 @@
 		{"a made-up key", standin.Request{URI: "/read/1", Key: "key-z"}, 401},
 		{"a body that is too large", standin.Request{URI: "/write/1", Key: "key-a", Body: strings.Repeat("x", 2<<20)}, 413},
 	}
-	w := newWorld(t, 1, func(int, standin.Request) standin.Reply { return standin.Reply{} })
+	w := newTestEnv(t, 1, func(int, standin.Request) standin.Reply { return standin.Reply{} })
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
@@ -127,7 +127,7 @@
 // the caller is told at once when to come back.
 func TestNothingToSendTo(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 0, nil)
+	w := newTestEnv(t, 0, nil)
 	a := w.call("/write/1")
 	is.Equal(a.Status, 503)
 	is.True(a.ComeBack() > 0)
@@ -143,7 +143,7 @@
 // The route's time ends a request that its upstream does not answer.
 func TestTimeout(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 2, func(int, standin.Request) standin.Reply { return standin.Reply{Silent: true} })
+	w := newTestEnv(t, 2, func(int, standin.Request) standin.Reply { return standin.Reply{Silent: true} })
 	began := time.Now()
 	a := w.call("/short/1")
 	is.Equal(a.Status, 504)
@@ -154,7 +154,7 @@
 // A caller that leaves takes its work with it.
 func TestCallerLeaves(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, func(int, standin.Request) standin.Reply { return standin.Reply{Silent: true} })
+	w := newTestEnv(t, 1, func(int, standin.Request) standin.Reply { return standin.Reply{Silent: true} })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan standin.Answer, 1)
 	w.group.Go(func() error {
@@ -171,12 +171,12 @@
 // Repeats stay within the budget, however many requests fail.
 func TestRetryBudget(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 2, func(int, standin.Request) standin.Reply { return standin.Reply{Status: 500} })
+	w := newTestEnv(t, 2, func(int, standin.Request) standin.Reply { return standin.Reply{Status: 500} })
 	const requests = 60
 	for range requests {
 		is.Equal(w.call("/read/1").Status, 500)
 	}
-	b := boundsOfTests()
+	b := testBounds()
 	most := retryMargin * (b.RetryReserve/assumedGateways + b.RetryShare*requests)
 	repeats := len(w.ran()) - requests
 	is.True(repeats > 0)
--- a/internal/edge/gatewayd/traffic.go
+++ b/internal/edge/gatewayd/peer_transport.go
@@ -11,13 +11,13 @@
 	"github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1/gladegaugev1connect"
 )
 
-// Directions of the bytes of calls to other gateways, as the caller sees them.
+// Directions of the bytes of calls to other gateways, as seen by the caller.
 const (
 	directionSent     = "sent"
 	directionReceived = "received"
 )
 
-// callKinds names the calls that gateways make to each other, by their procedures.
+// callKinds are the kinds of calls between gateways, by procedure.
 var callKinds = map[string]string{
 	gladegaugev1connect.GatewayServiceExchangeProcedure:   "exchange",
 	gladegaugev1connect.GatewayServiceFollowProcedure:     "follow",
@@ -25,33 +25,34 @@
 	gladegaugev1connect.GatewayServiceBorrowTurnProcedure: "borrow_turn",
 }
 
-// traffic counts the bytes of the bodies of calls to other gateways, by kind and direction.
-// The caller counts both directions, so that the sum over all gateways counts each byte once.
-type traffic struct {
+// peerTransport counts the bytes of the bodies of calls to other gateways, by kind and
+// direction. The caller counts both directions, so that the sum over all gateways counts
+// each byte once.
+type peerTransport struct {
 	next  http.RoundTripper
 	bytes *prometheus.CounterVec
 }
 
-// RoundTrip makes the call and counts what is read of both bodies.
-func (t *traffic) RoundTrip(r *http.Request) (*http.Response, error) {
+// RoundTrip makes the call and counts the bytes that are read of both bodies.
+func (t *peerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	kind, ok := callKinds[r.URL.Path]
 	if !ok {
 		return t.next.RoundTrip(r)
 	}
 	if r.Body != nil && r.Body != http.NoBody {
 		r = r.WithContext(r.Context())
-		r.Body = &countedBody{r.Body, t.bytes.WithLabelValues(kind, directionSent)}
+		r.Body = &countingBody{r.Body, t.bytes.WithLabelValues(kind, directionSent)}
 	}
 	resp, err := t.next.RoundTrip(r)
 	if err != nil {
 		return nil, err //nolint:wrapcheck // The transport's errors are the caller's.
 	}
-	resp.Body = &countedBody{resp.Body, t.bytes.WithLabelValues(kind, directionReceived)}
+	resp.Body = &countingBody{resp.Body, t.bytes.WithLabelValues(kind, directionReceived)}
 	return resp, nil
 }
 
-// sums returns the bytes so far in the direction, by kind, for a log line.
-func (t *traffic) sums(direction string) *zerolog.Event {
+// byteTotals returns the bytes so far in the direction, by kind, for a log line.
+func (t *peerTransport) byteTotals(direction string) *zerolog.Event {
 	dict := zerolog.Dict()
 	for _, kind := range callKinds {
 		var m dto.Metric
@@ -62,13 +63,13 @@
 	return dict
 }
 
-// countedBody counts what is read of a body.
-type countedBody struct {
+// countingBody counts the bytes that are read of a body.
+type countingBody struct {
 	io.ReadCloser
 	bytes prometheus.Counter
 }
 
-func (b *countedBody) Read(p []byte) (int, error) {
+func (b *countingBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	b.bytes.Add(float64(n))
 	return n, err //nolint:wrapcheck // A reader passes its errors on, io.EOF among them.
--- a/internal/edge/gatewayd/traffic_test.go
+++ b/internal/edge/gatewayd/peer_transport_test.go
@@ -11,7 +11,8 @@
 	"github.com/rs/zerolog"
 )
 
-// The bytes of both bodies of a call count for its kind, and those of other calls do not.
+// The bytes of both bodies of a call are counted for its kind, and those of other calls
+// are not.
 func TestBytesOfCalls(t *testing.T) {
 	is := is.New(t)
 	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -19,8 +20,8 @@
 		_, _ = io.WriteString(w, "four")
 	}))
 	defer other.Close()
-	m := newMeters(nil, func() uint64 { return 0 })
-	tr := newTraffic(m.peerBytes)
+	m := newServerMetrics(nil, func() uint64 { return 0 })
+	tr := newPeerTransport(m.peerBytes)
 	client := &http.Client{Transport: tr}
 	for _, path := range []string{"/gladegauge.v1.GatewayService/Follow", "/gladegauge.v1.GatewayService/Follow", "/else"} {
 		resp, err := client.Post(other.URL+path, "text/plain", strings.NewReader("seven77"))
@@ -38,7 +39,7 @@
 	is.Equal(count(directionReceived), 8.0)
 	var line strings.Builder
 	log := zerolog.New(&line)
-	log.Info().Dict("sent", tr.sums(directionSent)).Send()
+	log.Info().Dict("sent", tr.byteTotals(directionSent)).Send()
 	is.True(strings.Contains(line.String(), `"follow":14`))
 	is.True(strings.Contains(line.String(), `"exchange":0`))
 }
--- a/internal/edge/gatewayd/peers.go
+++ b/internal/edge/gatewayd/peers.go
@@ -17,38 +17,38 @@
 	"github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1/gladegaugev1connect"
 )
 
-// Times of calls between gateways.
+// Timeouts and limits of calls between gateways.
 const (
-	// peerDial and exchangeTimeout bound a call to another gateway; gateways of a
+	// peerDialTimeout and exchangeTimeout bound a call to another gateway. Gateways of a
 	// region are a few milliseconds apart.
-	peerDial        = 300 * time.Millisecond
+	peerDialTimeout = 300 * time.Millisecond
 	exchangeTimeout = 700 * time.Millisecond
-	// peerIdle is how long a connection to another gateway is kept.
-	peerIdle = 30 * time.Second
-	// partnersMost is the size of a fleet up to which connections to partners of
-	// exchanges are kept: in a larger one they are closed for their age before the same
-	// partner comes again, and each holds buffers and goroutines on both sides.
-	partnersMost = 16
+	// peerIdleTimeout is how long an idle connection to another gateway is kept.
+	peerIdleTimeout = 30 * time.Second
+	// maxKeepAliveFleet is the fleet size up to which connections for exchanges are kept.
+	// In a larger fleet they reach the idle timeout before the same gateway is picked
+	// again, and each one holds buffers and goroutines on both sides.
+	maxKeepAliveFleet = 16
 )
 
-// newTraffic returns the transport of calls to other gateways.
-func newTraffic(bytes *prometheus.CounterVec) *traffic {
-	dialer := &net.Dialer{Timeout: peerDial}
-	return &traffic{bytes: bytes, next: &http.Transport{
+// newPeerTransport returns the transport of calls to other gateways.
+func newPeerTransport(bytes *prometheus.CounterVec) *peerTransport {
+	dialer := &net.Dialer{Timeout: peerDialTimeout}
+	return &peerTransport{bytes: bytes, next: &http.Transport{
 		DialContext:         dialer.DialContext,
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: 1,
-		IdleConnTimeout:     peerIdle,
+		IdleConnTimeout:     peerIdleTimeout,
 	}}
 }
 
-// peer returns the gateway at the address.
+// peer returns a client of the gateway at the address.
 func (s *Server) peer(address string) gladegaugev1connect.GatewayServiceClient {
 	return gladegaugev1connect.NewGatewayServiceClient(s.peerClient, "http://"+address)
 }
 
-// exchangeLoop swaps what is known with one other gateway after the other. At the
-// start it asks all seeds, and a little later again: by then they know those that
+// exchangeLoop exchanges members with one other gateway after the other. At the start it
+// calls all seeds, and once more a little later: by then they know the gateways that
 // started at the same time.
 func (s *Server) exchangeLoop(ctx context.Context) error {
 	s.exchangeWithSeeds(ctx)
@@ -62,13 +62,13 @@
 		if !loop.Pause(ctx, fleet.ExchangeInterval/2+rand.N(fleet.ExchangeInterval)) {
 			return nil
 		}
-		if address, ok := s.partner(); ok {
+		if address, ok := s.exchangePeer(); ok {
 			s.exchange(ctx, address)
 		}
 	}
 }
 
-// exchangeWithSeeds swaps what is known with each seed.
+// exchangeWithSeeds exchanges members with each seed.
 func (s *Server) exchangeWithSeeds(ctx context.Context) {
 	for _, address := range s.o.Settings.Seeds {
 		if address != s.PeersAddress() {
@@ -77,8 +77,8 @@
 	}
 }
 
-// partner returns the gateway to swap with next; false if none is known.
-func (s *Server) partner() (string, bool) {
+// exchangePeer returns the gateway of the next exchange; false if none is known.
+func (s *Server) exchangePeer() (string, bool) {
 	var address string
 	var ok bool
 	s.control.Must(func(now time.Time) {
@@ -87,7 +87,7 @@
 	return address, ok
 }
 
-// exchange swaps what is known with the gateway at the address.
+// exchange exchanges members with the gateway at the address.
 func (s *Server) exchange(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -95,10 +95,10 @@
 	s.control.Must(func(now time.Time) {
 		s.fleet.Beat()
 		known := s.fleet.Known(now)
-		req.Msg.Known = count32(known)
-		req.Msg.Members = s.share(now, known)
+		req.Msg.Known = clampUint32(known)
+		req.Msg.Members = s.sampleMembers(now, known)
 	})
-	if req.Msg.GetKnown() > partnersMost {
+	if req.Msg.GetKnown() > maxKeepAliveFleet {
 		req.Header().Set("Connection", "close")
 	}
 	resp, err := s.peer(address).Exchange(ctx, req)
@@ -112,9 +112,9 @@
 	})
 }
 
-// share returns what the next message tells a gateway that knows so many. It runs in
-// the control goroutine.
-func (s *Server) share(now time.Time, known int) []*gladegaugev1.GatewayMember {
+// sampleMembers returns the members for the next message to a gateway that knows the given
+// number of gateways. It runs in the control goroutine.
+func (s *Server) sampleMembers(now time.Time, known int) []*gladegaugev1.GatewayMember {
 	members := s.fleet.Sample(now, known, rand.Uint64()) //nolint:gosec // A sample needs no secret randomness.
 	list := make([]*gladegaugev1.GatewayMember, len(members))
 	for i, m := range members {
@@ -123,7 +123,8 @@
 	return list
 }
 
-// merge takes what another gateway knows: the retry budget follows from it. It runs in the control goroutine.
+// merge applies the members that another gateway knows, and adapts the retry budgets to
+// the size of the fleet. It runs in the control goroutine.
 func (s *Server) merge(now time.Time, list []*gladegaugev1.GatewayMember) {
 	members := make([]fleet.Member, len(list))
 	for i, m := range list {
@@ -133,53 +134,52 @@
 	s.setGateways(s.fleet.Size(now))
 }
 
-// setGateways splits the retry budget over n gateways. It runs in the control
-// goroutine.
+// setGateways divides the retry budget among n gateways. It runs in the control goroutine.
 func (s *Server) setGateways(n int) {
 	if n == s.gateways {
 		return
 	}
-	if changedMuch(s.sizeLogged, n) {
-		s.log.Info().Int("gateways", n).Int("before", s.sizeLogged).Msg("fleet: size changed")
-		s.sizeLogged = n
+	if changedSignificantly(s.loggedSize, n) {
+		s.log.Info().Int("gateways", n).Int("before", s.loggedSize).Msg("fleet: size changed")
+		s.loggedSize = n
 	}
 	s.gateways = n
 	s.metrics.gateways.Set(float64(n))
-	s.boundBudgets()
+	s.updateBudgets()
 }
 
-// changedMuch reports whether the size of the fleet is to be logged anew. Of a large fleet
-// each gateway hears one by one: a line for each would be as many as the square of its size.
-func changedMuch(logged, n int) bool {
+// changedSignificantly reports whether the size of the fleet is logged again. Gateways
+// learn of a large fleet one by one; a line for each would add up to the square of its
+// size.
+func changedSignificantly(logged, n int) bool {
 	const part = 8
 	return part*max(logged-n, n-logged) >= logged
 }
 
-// budget returns that of the pool, which is made if it is not there. It runs in the
-// control goroutine.
+// budget returns the retry budget of the pool, which it creates if necessary. It runs in
+// the control goroutine.
 func (s *Server) budget(pool string) *retry.Window {
 	w, ok := s.budgets[pool]
 	if !ok {
-		w = retry.NewWindow(budgetBounds(s.promised, s.gateways))
+		w = retry.NewWindow(budgetBounds(s.operatorBounds, s.gateways))
 		s.budgets[pool] = w
 	}
 	return w
 }
 
-// boundBudgets brings new bounds of the retries into force. It runs in the control
-// goroutine.
-func (s *Server) boundBudgets() {
+// updateBudgets applies new bounds to the retry budgets. It runs in the control goroutine.
+func (s *Server) updateBudgets() {
 	for pool, w := range s.budgets {
-		s.budgets[pool] = w.With(budgetBounds(s.promised, s.gateways))
+		s.budgets[pool] = w.With(budgetBounds(s.operatorBounds, s.gateways))
 	}
 }
 
-// Exchange answers another gateway's swap.
+// Exchange answers another gateway's exchange of members.
 func (s *Server) Exchange(_ context.Context, req *connect.Request[gladegaugev1.GatewayExchangeRequest]) (*connect.Response[gladegaugev1.GatewayExchangeResponse], error) {
 	resp := &gladegaugev1.GatewayExchangeResponse{}
 	s.control.Must(func(now time.Time) {
 		s.merge(now, req.Msg.GetMembers())
-		resp.Members = s.share(now, int(req.Msg.GetKnown()))
+		resp.Members = s.sampleMembers(now, int(req.Msg.GetKnown()))
 	})
 	return connect.NewResponse(resp), nil
 }
--- a/internal/edge/gatewayd/peers_test.go
+++ b/internal/edge/gatewayd/peers_test.go
@@ -25,25 +25,25 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// testPeer is one of several that share a store.
+// testPeer is one of several gateways that share a store.
 type testPeer struct {
 	*Server
 	stop func()
 }
 
-// startPeer starts a gateway that knows the seeds.
+// startPeer starts a gateway with the given seeds.
 func startPeer(t *testing.T, store *standin.Store, seeds ...string) *testPeer {
 	t.Helper()
 	return startPeerIn(t, store, "a", seeds...)
 }
 
-// startPeerIn starts one in the availability zone.
+// startPeerIn starts a gateway in the availability zone.
 func startPeerIn(t *testing.T, store *standin.Store, zone string, seeds ...string) *testPeer {
 	t.Helper()
 	return startPeerWith(t, store, zone, true, seeds...)
 }
 
-// startPeerWith starts one for the first time, or again.
+// startPeerWith starts a gateway for the first time, or again.
 func startPeerWith(t *testing.T, store *standin.Store, zone string, first bool, seeds ...string) *testPeer {
 	t.Helper()
 	is := is.New(t)
@@ -51,9 +51,9 @@
 		Settings: platform.Settings{
 			Host: "h", Zone: zone, IP: "127.0.0.1",
 			Callers: "127.0.0.1:0", Readiness: "127.0.0.1:0", Peers: "127.0.0.1:0",
-			Seeds: seeds, FirstStart: first, Store: store.Address(), Bounds: boundsOfTests(),
+			Seeds: seeds, FirstStart: first, Store: store.Address(), Bounds: testBounds(),
 		},
-		Stop: StopTimes{LastCallAfter: time.Hour},
+		Stop: StopTimes{RejectAfter: time.Hour},
 		Log:  zerolog.Nop(),
 	})
 	is.NoErr(s.Listen())
@@ -86,11 +86,10 @@
 
 func (g *testPeer) provedAfter(at time.Time) bool { return g.view.Load().NewestAt.After(at) }
 
-// Three gateways of a zone agree on one that reads the store. What is published
-// reaches all of them, and so does the proof of its age. When the reader goes,
-// the others go on.
-func TestOneReadsForAll(t *testing.T) {
-	w := &world{t: t, is: is.New(t)}
+// Three gateways of a zone agree on one that reads the store. Published values reach all
+// of them, and so does the proof of their age. When the reader stops, the others continue.
+func TestGatewaysAgreeOnOneReader(t *testing.T) {
+	w := &testEnv{t: t, is: is.New(t)}
 	store := standin.NewStore(t)
 	store.PutConfig(configuration(1))
 	first := startPeer(t, store)
@@ -111,9 +110,9 @@
 	w.await(func() bool { return settled(3) })
 	store.PutConfig(configuration(2))
 	w.await(func() bool { return all[0].version() == 2 && all[1].version() == 2 && all[2].version() == 2 })
-	// All ages are proved anew by one reader's calls.
-	// On a busy machine the views may be late meanwhile, and are then asked for by all:
-	// some span is one without that.
+	// The calls of one reader renew the proofs of all gateways. On a busy machine the
+	// views may become stale in the meantime, and then all gateways query the store, so
+	// that the test waits for a period without that.
 	calls := 5
 	w.await(func() bool {
 		before := store.Calls()
@@ -134,15 +133,15 @@
 	}
 	store.PutConfig(configuration(3))
 	w.await(func() bool { return all[0].version() == 3 && all[1].version() == 3 })
-	w.await(func() bool { return settled(3) }) // the budget is still split over three
+	w.await(func() bool { return settled(3) }) // the budget is still shared by three
 }
 
-// No delay on the way makes an answer's proof look younger than it is.
-func TestProofOfAnotherGateway(t *testing.T) {
+// No network delay makes the proof of an answer look newer than it is.
+func TestProofOfPeer(t *testing.T) {
 	tests := []struct {
 		name string
 		resp *gladegaugev1.FollowResponse
-		// want is the age of the view, some 5 s after the question.
+		// want is the age of the view, about 5 s after the query.
 		want time.Duration
 	}{
 		{"at once", &gladegaugev1.FollowResponse{Version: 1, AgeMs: 100}, 5100 * time.Millisecond},
@@ -154,7 +153,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, 1, nil)
+			w := newTestEnv(t, 1, nil)
 			w.store.SetTrouble(standin.Silent)
 			asked := time.Now().Add(-5 * time.Second)
 			w.server.control.Must(func(now time.Time) {
@@ -163,7 +162,7 @@
 				w.server.view.Store(&view)
 			})
 			f := &follower{server: w.server, reader: reader.New(time.Now())}
-			f.takeFrom(asked, "parent", tt.resp)
+			f.applyPeerAnswer(asked, "parent", tt.resp)
 			age := w.server.view.Load().Age(time.Now())
 			is.True(age >= tt.want)
 			is.True(age < tt.want+3*time.Second)
@@ -171,10 +170,10 @@
 	}
 }
 
-// An outage of the store that another gateway saw keeps lapsed upstreams here.
-func TestOutageIsToldOn(t *testing.T) {
+// An outage of the store that another gateway saw retains expired upstreams here.
+func TestOutageIsPropagated(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 3, nil)
+	w := newTestEnv(t, 3, nil)
 	var batch feed.Batch
 	w.server.control.Must(func(time.Time) { batch, _ = w.server.feed.Since(feed.Position{}) })
 	resp := &gladegaugev1.FollowResponse{Epoch: batch.Position.Epoch, Revision: batch.Position.Revision + 9, Version: 1, Outage: true}
@@ -186,29 +185,29 @@
 	is.Equal(len(resp.GetEntries()), 2)
 	w.store.SetTrouble(standin.Silent)
 	f := &follower{server: w.server, reader: reader.New(time.Now())}
-	f.takeFrom(time.Now(), "parent", resp)
+	f.applyPeerAnswer(time.Now(), "parent", resp)
 	is.Equal(w.upstreams(), 3)
 	w.await(func() bool { return w.upstreams() == 1 })
 }
 
-// A listing without entries takes away what was known.
-func TestEmptyListingOfAnotherGateway(t *testing.T) {
+// A listing without entries removes everything that was known.
+func TestEmptyListingOfPeer(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 2, nil)
+	w := newTestEnv(t, 2, nil)
 	w.store.SetTrouble(standin.Silent)
 	f := &follower{server: w.server, reader: reader.New(time.Now())}
-	f.takeFrom(time.Now(), "parent", &gladegaugev1.FollowResponse{Revision: 100, Version: 1, Whole: true})
+	f.applyPeerAnswer(time.Now(), "parent", &gladegaugev1.FollowResponse{Revision: 100, Version: 1, Whole: true})
 	is.Equal(w.upstreams(), 0)
 }
 
-// A reload's bounds outlast a change of the fleet's size.
+// The bounds of reloaded settings outlast a change of the fleet's size.
 func TestReloadedRetryBoundsStay(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, nil)
-	more := boundsOfTests()
+	w := newTestEnv(t, 1, nil)
+	more := testBounds()
 	more.RetryReserve *= 10
 	w.server.control.Must(func(now time.Time) {
-		w.server.promised = more
+		w.server.operatorBounds = more
 		w.server.setGateways(2)
 		_, reserve, _ := budgetBounds(more, 2)
 		n := 0
@@ -219,15 +218,15 @@
 	})
 }
 
-// A connection to a partner of an exchange is kept in a small fleet, where it comes again
-// soon, and not in a large one.
-func TestPartnersConnections(t *testing.T) {
+// A connection for an exchange is kept in a small fleet, where it is soon used again, and
+// not in a large one.
+func TestExchangeConnectionReuse(t *testing.T) {
 	for _, tt := range []struct {
 		known int
 		kept  bool
-	}{{4, true}, {partnersMost, true}, {40, false}, {800, false}} {
+	}{{4, true}, {maxKeepAliveFleet, true}, {40, false}, {800, false}} {
 		t.Run(strconv.Itoa(tt.known), func(t *testing.T) {
-			w := newWorld(t, 1, nil)
+			w := newTestEnv(t, 1, nil)
 			states := make(chan http.ConnState, 100)
 			_, handler := gladegaugev1connect.NewGatewayServiceHandler(w.server)
 			partner := httptest.NewUnstartedServer(handler)
@@ -255,14 +254,14 @@
 	}
 }
 
-// A gateway that hears of a fleet one by one writes lines in proportion to the logarithm
-// of its size, and in the end the line is nearly right.
-func TestLinesOnTheSizeOfTheFleet(t *testing.T) {
+// A gateway that learns of a fleet one by one logs lines in proportion to the logarithm of
+// its size, and the last line is nearly right.
+func TestFleetSizeLogLines(t *testing.T) {
 	for _, size := range []int{30, 357, 800, 1600} {
 		is := is.New(t)
 		logged, lines := assumedGateways, 0
 		for n := assumedGateways; n <= size; n++ {
-			if changedMuch(logged, n) {
+			if changedSignificantly(logged, n) {
 				logged = n
 				lines++
 			}
@@ -272,7 +271,7 @@
 	}
 }
 
-// A time that does not fit its field is a long time, not a short one.
+// A duration that does not fit its field becomes a long one, not a short one.
 func TestLongTimesDoNotWrap(t *testing.T) {
 	is := is.New(t)
 	is.Equal(wholeMilliseconds(1500*time.Microsecond), uint32(1))
@@ -280,10 +279,11 @@
 	is.True(wholeMilliseconds(50*24*time.Hour) > uint32((40 * 24 * time.Hour).Milliseconds()))
 }
 
-// Gateways that start at once leave the reading of the store to their seed: the others
-// learn everything from it, and nobody lists what one has listed.
+// Gateways that start at the same time leave it to their seed to read the store. The
+// others learn everything from it, and the store is listed no more often than by a single
+// gateway.
 func TestManyStartAtOnce(t *testing.T) {
-	w := &world{t: t, is: is.New(t)}
+	w := &testEnv{t: t, is: is.New(t)}
 	proved := func(g *testPeer) bool { return !g.view.Load().NewestAt.IsZero() }
 	alone := standin.NewStore(t)
 	alone.PutConfig(configuration(1))
@@ -308,9 +308,9 @@
 	w.is.Equal(store.Lists(), alone.Lists())
 }
 
-// If the seed is gone, a gateway that starts reads the store after a moment.
+// If the seed is gone, a starting gateway reads the store after a moment.
 func TestStartWithoutSeed(t *testing.T) {
-	w := &world{t: t, is: is.New(t)}
+	w := &testEnv{t: t, is: is.New(t)}
 	store := standin.NewStore(t)
 	store.PutConfig(configuration(1))
 	g := startPeer(t, store, closedAddress(t).String())
@@ -318,10 +318,10 @@
 	w.is.True(store.Lists() >= 1)
 }
 
-// A gateway that restarts learns everything from a seed that knows it, and does not
-// wait for one that does not.
+// A gateway that restarts learns everything from a seed that knows it, and does not wait
+// for one that does not.
 func TestRestart(t *testing.T) {
-	w := &world{t: t, is: is.New(t)}
+	w := &testEnv{t: t, is: is.New(t)}
 	store := standin.NewStore(t)
 	store.PutConfig(configuration(1))
 	seed := startPeer(t, store)
@@ -338,14 +338,15 @@
 	w.is.Equal(store.Lists(), 2*listed)
 }
 
-// A parent that has lost the store answers without news until its watch has timed
-// out. Its followers ask the store before a leaving upstream must get nothing new.
+// A parent that has lost the store keeps answering without updates until its watch has
+// timed out. Its followers query the store before the time within which a leaving upstream
+// must get no new requests.
 func TestFollowersDoNotWaitForALostParent(t *testing.T) {
 	now := time.Now()
 	tests := []struct {
 		name string
-		// drain and config are the times in which a leaving upstream must be left and a
-		// configuration be in force; 0 for none.
+		// drain and config are the times within which a leaving upstream must get no new
+		// requests and a configuration must be in force; 0 for none.
 		drain, config time.Duration
 		age           time.Duration
 		late          bool
@@ -361,28 +362,28 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			b := boundsOfTests()
+			b := testBounds()
 			b.DrainWithin, b.ConfigWithin = tt.drain, tt.config
 			s := New(&Options{Settings: platform.Settings{Bounds: b}, Log: zerolog.Nop()})
 			s.view.Store(&ingress.View{Table: &ingress.Table{}, NewestAt: now.Add(-tt.age)})
 			f := &follower{server: s, position: feed.Position{Revision: 1}, reader: reader.New(now)}
 			is.Equal(s.readerBounds().IsStale(f.view(now)), tt.late)
-			// No poll, answered or not, makes the view as old as a bound allows.
+			// No poll, answered or not, makes the view older than a bound allows.
 			q := f.reader.Next(now, f.view(now), s.readerBounds(), fleetWithParent(now), 0)
 			is.True(tt.late || q.Kind == reader.QueryPeer)
 			within := min(tt.drain, tt.config)
 			is.True(tt.late || within == 0 || tt.age+q.Timeout < within)
-			// What is usual is not late.
+			// A view in normal operation is not stale.
 			is.True(within == 0 || s.readerBounds().DefaultWatchWait()+pollWait < within)
 		})
 	}
 }
 
-// pollWait is how long a poll of a parent is held that brings nothing.
+// pollWait is how long a parent holds a poll without updates.
 const pollWait = 500 * time.Millisecond
 
-// fleetWithParent returns a fleet in which another gateway is followed, and none asks the
-// store.
+// fleetWithParent returns a fleet in which this gateway follows another one and does not
+// query the store.
 func fleetWithParent(now time.Time) *fleet.Fleet {
 	f := fleet.New(fleet.Member{Address: "self", Zone: "b"})
 	f.Region([]string{"a", "b"})
--- a/internal/edge/gatewayd/proof.go
+++ b/internal/edge/gatewayd/proof.go
@@ -6,15 +6,16 @@
 	"github.com/gladegauge/gladegauge/platform"
 )
 
-// proofSlack is how much later than its wait an empty answer to a watch may come
-// for its wait to count. A store that is well takes milliseconds; after a longer
-// time this process may have stood still, and the answer may have waited for it.
+// proofSlack is how much later than its wait an empty answer to a watch may arrive and
+// still prove that the whole wait brought no change. A healthy store takes milliseconds.
+// After a longer time this process may have been suspended while the answer was waiting
+// for it.
 const proofSlack = 300 * time.Millisecond
 
-// provedAt returns a moment at which what is known was the newest. A watch that
-// brought nothing was answered when its wait was over, and not before. Any
-// other answer may be as old as its question: one that came too early was cut
-// short, and one that came too late may have been, while this process was frozen.
+// provedAt returns a time at which the known state was the newest. A watch without changes
+// was answered at the end of its wait, and not before. Any other answer may be as old as
+// its query: one that arrived too early was cut short, and one that arrived too late may
+// have been cut short while this process was suspended.
 func provedAt(asked, answered time.Time, wait time.Duration, c platform.Changes) time.Time {
 	took := answered.Sub(asked)
 	if c.Any() || took < wait || took > wait+proofSlack {
--- a/internal/edge/gatewayd/ready.go
+++ b/internal/edge/gatewayd/ready.go
@@ -2,8 +2,8 @@
 
 import "net/http"
 
-// answerReady tells the platform whether to send callers here.
-func (s *Server) answerReady(w http.ResponseWriter, _ *http.Request) {
+// serveReadiness tells the platform whether to route callers here.
+func (s *Server) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if !s.ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -11,7 +11,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// ready reports whether the gateway takes new callers.
+// ready reports whether the gateway accepts new callers.
 func (s *Server) ready() bool {
 	view := s.view.Load()
 	return s.stoppingAt.Load() == nil && view.Table != nil && !view.NewestAt.IsZero()
--- a/internal/edge/gatewayd/refusal_test.go
+++ b/internal/edge/gatewayd/refusal_test.go
@@ -49,7 +49,7 @@
 	for _, status := range []int{http.StatusServiceUnavailable, http.StatusTooManyRequests} {
 		t.Run(http.StatusText(status), func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, 2, func(int, standin.Request) standin.Reply {
+			w := newTestEnv(t, 2, func(int, standin.Request) standin.Reply {
 				done := make(chan struct{})
 				time.AfterFunc(refusalWork, func() { close(done) })
 				return standin.Reply{Hold: done}
--- a/internal/edge/gatewayd/reload.go
+++ b/internal/edge/gatewayd/reload.go
@@ -8,34 +8,34 @@
 	"github.com/gladegauge/gladegauge/platform"
 )
 
-// reloadEvery is how often the settings file is looked at: it may change
-// without a signal.
-const reloadEvery = 2 * time.Second
+// reloadInterval is the interval at which the settings file is checked, because it may
+// change without a signal.
+const reloadInterval = 2 * time.Second
 
-// Reload takes changed settings at a signal, or when the file has changed,
-// until the context ends. Addresses hold from the next start on.
+// Reload applies changed settings on a signal, or when the file has changed, until the
+// context ends. Changed addresses take effect at the next start.
 func (s *Server) Reload(ctx context.Context, signals <-chan os.Signal) error {
-	t := time.NewTicker(reloadEvery)
+	t := time.NewTicker(reloadInterval)
 	defer t.Stop()
-	changed := changedAt(s.o.SettingsPath)
+	changed := modTime(s.o.SettingsPath)
 	for {
 		cause := "file changed"
 		select {
 		case <-signals:
 			cause = "signal"
 		case <-t.C:
-			if changedAt(s.o.SettingsPath).Equal(changed) {
+			if modTime(s.o.SettingsPath).Equal(changed) {
 				continue
 			}
 		case <-ctx.Done():
 			return nil
 		}
-		changed = changedAt(s.o.SettingsPath)
+		changed = modTime(s.o.SettingsPath)
 		s.reload(cause)
 	}
 }
 
-func changedAt(path string) time.Time {
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
@@ -43,22 +43,22 @@
 	return info.ModTime()
 }
 
-// reload takes the bounds of new settings; faulty settings change nothing.
+// reload applies the bounds of new settings. Invalid settings change nothing.
 func (s *Server) reload(cause string) {
 	next, faults := platform.ReadSettings(s.o.SettingsPath)
 	if len(faults) > 0 {
-		s.log.Error().Str("cause", cause).Str("faults", faults.String()).Msg("settings: faulty, nothing changed")
+		s.log.Error().Str("cause", cause).Str("faults", faults.String()).Msg("settings: invalid, nothing changed")
 		return
 	}
-	bounds := boundsOf(next.Bounds)
+	bounds := admissionBounds(next.Bounds)
 	s.bounds.Store(&bounds)
 	s.control.Must(func(time.Time) {
-		s.promised = next.Bounds
+		s.operatorBounds = next.Bounds
 		s.table.SetColdLimits(coldLimits(next.Bounds), s.holds)
 		if t := s.view.Load().Table; t != nil {
 			s.table.SetPools(t)
 		}
-		s.boundBudgets()
+		s.updateBudgets()
 	})
-	s.log.Info().Str("cause", cause).Msg("settings: taken")
+	s.log.Info().Str("cause", cause).Msg("settings: reloaded")
 }
--- a/internal/edge/gatewayd/request.go
+++ b/internal/edge/gatewayd/request.go
@@ -78,7 +78,7 @@
 	now := s.now()
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
-	s.lastSeen.Store(now.UnixNano())
+	s.lastRequestAt.Store(now.UnixNano())
 	x := &request{
 		server: s,
 		w:      c.Response(),
@@ -89,7 +89,7 @@
 	x.lastEvent = x.call.LastEvent
 	if stopping := s.stoppingAt.Load(); stopping != nil {
 		x.w.Header().Set("Connection", "close")
-		if now.Sub(*stopping) > s.o.Stop.LastCallAfter {
+		if now.Sub(*stopping) > s.o.Stop.RejectAfter {
 			x.refuse(gateway.Stopping())
 			return nil
 		}
@@ -105,11 +105,11 @@
 	}
 	ctx, cancel := context.WithTimeout(x.r.Context(), x.left()+answerSlack)
 	defer cancel()
-	if refusal := x.enter(); refusal != nil {
+	if refusal := x.checkSuspect(); refusal != nil {
 		x.refuse(refusal)
 		return nil
 	}
-	defer x.leave()
+	defer x.releaseSuspect()
 	x.attempts(ctx)
 	return nil
 }
@@ -173,7 +173,7 @@
 		}
 		now := x.server.now()
 		x.progress = x.progress.With(failure)
-		if failure == gateway.Lost && x.lostAt(ctx, choice) == suspect.Blocked && !x.progress.ResponseStarted {
+		if failure == gateway.Lost && x.checkLost(ctx, choice) == suspect.Blocked && !x.progress.ResponseStarted {
 			x.logFailure(choice, failure, gateway.Step{Do: gateway.Refuse}, err)
 			x.refuse(gateway.CrashesUpstreams(true))
 			return
--- a/internal/edge/gatewayd/resources.go
+++ b/internal/edge/gatewayd/resources.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// resourcesEvery is how often a gateway writes what it holds and used.
-const resourcesEvery = 10 * time.Second
+// resourcesInterval is the interval at which a gateway logs its resource usage.
+const resourcesInterval = 10 * time.Second
 
-// Names of what the runtime tells of the process (package runtime/metrics).
+// Names of the runtime's metrics (package runtime/metrics).
 const (
 	heapMetric       = "/memory/classes/heap/objects:bytes"
 	heapUnusedMetric = "/memory/classes/heap/unused:bytes"
@@ -21,9 +21,9 @@
 	userMetric       = "/cpu/classes/user:cpu-seconds"
 )
 
-// logResources writes a line on what the process holds and used, in bytes and seconds, and
-// on the bytes of its calls to other gateways by kind, and how many lines were dropped since
-// the start. It runs in the control goroutine.
+// logResources logs the memory and CPU time of the process in bytes and seconds, the bytes
+// of its calls to other gateways by kind, and the number of log lines dropped since the
+// start. It runs in the control goroutine.
 func (s *Server) logResources(time.Time) {
 	var dropped uint64
 	if s.o.LogsDropped != nil {
@@ -46,8 +46,8 @@
 		Float64("collector_s", samples[7].Value.Float64()).
 		Float64("user_s", samples[8].Value.Float64()).
 		Int("gateways", s.gateways).
-		Dict("peer_sent", s.traffic.sums(directionSent)).
-		Dict("peer_received", s.traffic.sums(directionReceived)).
+		Dict("peer_sent", s.peerTransport.byteTotals(directionSent)).
+		Dict("peer_received", s.peerTransport.byteTotals(directionReceived)).
 		Uint64("lines_dropped", dropped).
 		Msg("resources")
 }
--- a/internal/edge/gatewayd/rest_test.go
+++ b/internal/edge/gatewayd/rest_test.go
@@ -22,7 +22,7 @@
 // there again. The callers were told to come back in 50 ms.
 func TestUpstreamThatAsksForRestGetsNone(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 3, func(int, standin.Request) standin.Reply {
+	w := newTestEnv(t, 3, func(int, standin.Request) standin.Reply {
 		return standin.Reply{Refuse: true, Lines: restLine}
 	})
 	for range 20 {
@@ -38,7 +38,7 @@
 func TestAllUpstreamsRest(t *testing.T) {
 	is := is.New(t)
 	var takes atomic.Bool
-	w := newWorld(t, 2, func(int, standin.Request) standin.Reply {
+	w := newTestEnv(t, 2, func(int, standin.Request) standin.Reply {
 		return standin.Reply{Refuse: !takes.Load(), Lines: restLine}
 	})
 	w.call("/write/1")
@@ -80,7 +80,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, 1, func(int, standin.Request) standin.Reply { return tt.reply })
+			w := newTestEnv(t, 1, func(int, standin.Request) standin.Reply { return tt.reply })
 			w.call("/write/1")
 			w.call("/write/1")
 			arrived := len(w.replicas[0].Arrived())
@@ -94,7 +94,7 @@
 // rest while the connection was made: it goes elsewhere, and costs nothing of the retries.
 func TestLastLookBeforeSending(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 2, func(int, standin.Request) standin.Reply { return standin.Reply{Body: "done"} })
+	w := newTestEnv(t, 2, func(int, standin.Request) standin.Reply { return standin.Reply{Body: "done"} })
 	closed := make(notice.Closed)
 	state := notice.State{}.With(time.Now(), notice.Notice{Rest: time.Minute})
 	resting := w.replicas[0]
--- a/internal/edge/gatewayd/restore_test.go
+++ b/internal/edge/gatewayd/restore_test.go
@@ -14,8 +14,8 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// leaves reports whether the gateway knows that the upstream leaves.
-func (g *testPeer) leaves(id string) bool {
+// isLeaving reports whether the gateway knows that the upstream is leaving.
+func (g *testPeer) isLeaving(id string) bool {
 	return slices.ContainsFunc(g.listed(), func(in balance.Instance) bool { return in.ID == id && in.Leaving })
 }
 
@@ -26,11 +26,11 @@
 	return list
 }
 
-// restoredWorld is three gateways, one of which reads the store for the others, that know
-// more of it than the copy from which it comes back.
-func restoredWorld(t *testing.T) (w *world, all []*testPeer) {
+// newRestoreEnv starts three gateways, one of which reads the store for the others. They
+// know more than the copy from which the store is restored.
+func newRestoreEnv(t *testing.T) (w *testEnv, all []*testPeer) {
 	t.Helper()
-	w = &world{t: t, is: is.New(t), store: standin.NewStore(t)}
+	w = &testEnv{t: t, is: is.New(t), store: standin.NewStore(t)}
 	w.store.PutConfig(configuration(1))
 	r := standin.NewReplica(t, "i-a", nil)
 	w.replicas = append(w.replicas, r)
@@ -52,10 +52,11 @@
 	return w, all
 }
 
-// The store came back from a copy and gave its revisions out again. Only the gateway that
-// read it learned that an upstream leaves; those that followed it knew a higher revision.
-func TestFollowersLearnWhatIsWrittenAfterARestore(t *testing.T) {
-	w, all := restoredWorld(t)
+// A store that is restored from a copy issues its revisions again. Followers that knew a
+// higher revision did not learn that an upstream was leaving; only the gateway that read
+// the store did.
+func TestFollowersLearnWritesAfterRestore(t *testing.T) {
+	w, all := newRestoreEnv(t)
 	w.store.Restore()
 	w.store.PutConfig(configuration(6))
 	later := time.Now()
@@ -64,14 +65,14 @@
 	})
 	w.store.PutReplica(w.replicas[0], "app", true)
 	for _, g := range all {
-		w.await(func() bool { return g.leaves("i-a") })
+		w.await(func() bool { return g.isLeaving("i-a") })
 	}
 }
 
-// A gateway that was without the store while it came back from a copy, and asks again when
-// its revisions are as high as before, is told only what came after.
-func TestRevisionsThatAreGivenOutAgain(t *testing.T) {
-	w := newWorld(t, 1, nil)
+// A gateway without the store during the restore queries it again when its revisions are
+// as high as before. A watch from that position would return only what follows it.
+func TestReusedRevisions(t *testing.T) {
+	w := newTestEnv(t, 1, nil)
 	w.store.Backup()
 	w.store.PutConfig(configuration(2))
 	w.await(func() bool { return w.server.view.Load().Table.Version == 2 })
@@ -82,13 +83,13 @@
 	w.store.PutConfig(configuration(2))
 	w.store.SetTrouble(standin.Well)
 	g := &testPeer{Server: w.server}
-	w.await(func() bool { return g.leaves("i-a") })
+	w.await(func() bool { return g.isLeaving("i-a") })
 }
 
-// A gateway that starts while the store holds an older configuration than it had
-// acknowledged takes the one in force from another gateway.
-func TestStartAfterARestoreTakesNoOlderConfiguration(t *testing.T) {
-	w, all := restoredWorld(t)
+// A gateway that starts while the store holds an older configuration than before the
+// restore takes the one in force from another gateway.
+func TestStartAfterRestoreIgnoresOlderConfiguration(t *testing.T) {
+	w, all := newRestoreEnv(t)
 	w.store.Restore()
 	for _, g := range all {
 		w.await(func() bool { return g.epoch() == 1 })
@@ -98,24 +99,24 @@
 	w.is.Equal(late.version(), int64(6))
 }
 
-// epoch is that of the store as the gateway knows it.
+// epoch returns the epoch of the store as the gateway knows it.
 func (g *testPeer) epoch() int64 {
 	var epoch int64
 	g.control.Must(func(time.Time) { epoch = g.feed.Position().Epoch })
 	return epoch
 }
 
-// Upstreams that leave or went do not come back with a copy of the store.
-func TestRestoreBringsNobodyBack(t *testing.T) {
-	w := newWorld(t, 3, nil)
+// Upstreams that are leaving or removed are not revived by a restored copy of the store.
+func TestRestoreRevivesNoUpstream(t *testing.T) {
+	w := newTestEnv(t, 3, nil)
 	w.store.Backup()
 	w.store.PutReplica(w.replicas[0], "app", true)
 	w.store.RemoveReplica(w.replicas[1].ID)
 	g := &testPeer{Server: w.server}
-	w.await(func() bool { return g.leaves("i-a") && len(g.listed()) == 2 })
+	w.await(func() bool { return g.isLeaving("i-a") && len(g.listed()) == 2 })
 	w.store.Restore()
 	w.await(func() bool { return g.epoch() == 1 })
-	w.is.True(g.leaves("i-a"))
+	w.is.True(g.isLeaving("i-a"))
 	w.is.Equal(len(g.listed()), 2)
 	families, err := g.metrics.registry.Gather()
 	w.is.NoErr(err)
@@ -123,25 +124,26 @@
 	w.is.Equal(valueOf(families, "gladegauge_gateway_store_revision", nil), 4.0)
 }
 
-// A store that came back from a copy may have lost a configuration that takes a key away.
-// Its silence proves nothing until what was lost must have been written again, or was.
-func TestStoreFromACopyProvesNothingAtOnce(t *testing.T) {
+// A restored store may have lost a configuration that revokes a key. The absence of
+// changes proves nothing until lost writes have been repeated, or must have been.
+func TestRestoredStoreProvesNothingAtOnce(t *testing.T) {
 	tests := []struct {
 		name string
-		// write is what the operators write before the gateway asks again.
+		// write is what the operators write before the gateway queries the store again.
 		write func(st *standin.Store)
-		// least and most are when the configuration is proved anew, after the return.
+		// least and most are the bounds of the time from the restore to the next proof of
+		// the configuration.
 		least, most time.Duration
 	}{
-		{"nothing is written", func(*standin.Store) {}, settleFor - time.Second, settleFor + 2*time.Second},
+		{"nothing is written", func(*standin.Store) {}, restoreWindowLength - time.Second, restoreWindowLength + 2*time.Second},
 		{"the same one is written anew", func(st *standin.Store) {
 			st.Put("else/thing", nil)
 			st.PutConfig(configuration(1))
-		}, 0, settleFor - time.Second},
+		}, 0, restoreWindowLength - time.Second},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newWorld(t, 1, nil)
+			w := newTestEnv(t, 1, nil)
 			g := &testPeer{Server: w.server}
 			w.store.Backup()
 			w.store.SetTrouble(standin.Busy)
@@ -158,11 +160,11 @@
 	}
 }
 
-// A gateway that starts reads what may be seconds old. If the store came back from a copy in
-// between, and gave out as many revisions since, the changes that follow hide what was
-// written in place of those that were lost.
-func TestStartWithAReadFromBeforeARestore(t *testing.T) {
-	w := &world{t: t, is: is.New(t), store: standin.NewStore(t)}
+// A starting gateway may read a listing that is seconds old. If the store was restored in
+// between and has issued as many revisions since, the changes that follow hide what was
+// written in place of the lost ones.
+func TestStartWithListingFromBeforeRestore(t *testing.T) {
+	w := &testEnv{t: t, is: is.New(t), store: standin.NewStore(t)}
 	w.store.PutConfig(configuration(1))
 	r := standin.NewReplica(t, "i-a", nil)
 	w.store.PutReplica(r, "app", false)
@@ -173,13 +175,13 @@
 	w.store.PutReplica(r, "app", true)
 	w.store.PutConfig(configuration(2))
 	g := startPeer(t, w.store)
-	w.await(func() bool { return g.leaves("i-a") })
+	w.await(func() bool { return g.isLeaving("i-a") })
 }
 
-// A gateway that the store could not tell what followed its position watches again once
-// another gateway has brought it further, and does not read everything.
-func TestWatchesAgainFromWhatAnotherGatewayTold(t *testing.T) {
-	w := newWorld(t, 1, nil)
+// A gateway whose watch failed because the history was compacted watches again once
+// another gateway has brought it further, and does not relist.
+func TestWatchResumesFromPeerPosition(t *testing.T) {
+	w := newTestEnv(t, 1, nil)
 	w.store.SetTrouble(standin.Silent)
 	known := feed.Position{Epoch: 1, Revision: 7}
 	tests := []struct {
@@ -197,7 +199,7 @@
 			is := is.New(t)
 			f := &follower{server: w.server, reader: reader.New(time.Now()), position: known}
 			f.reader.HistoryCompacted()
-			f.takeFrom(time.Now(), "parent", &gladegaugev1.FollowResponse{Epoch: tt.position.Epoch, Revision: tt.position.Revision})
+			f.applyPeerAnswer(time.Now(), "parent", &gladegaugev1.FollowResponse{Epoch: tt.position.Epoch, Revision: tt.position.Revision})
 			is.Equal(f.reader.NeedsRelist(), tt.unfollowed)
 			is.Equal(f.position, known.Later(tt.position))
 		})
--- a/internal/edge/gatewayd/server.go
+++ b/internal/edge/gatewayd/server.go
@@ -1,10 +1,10 @@
 // Package gatewayd runs a gateway: an entry that calls upstreams itself.
 //
-// It is for deployments where upstreams order their own queues and no process
-// of the project stands before them. The decisions are those of the core
-// packages gateway, ingress, balance, fleet and retry; this package carries
-// requests and answers, follows the platform's store or a gateway that reads it,
-// and stops without cutting a request off.
+// It is for deployments in which upstreams order their own queues and no process of this
+// project runs beside them. Decisions are made by the core packages gateway, ingress,
+// balance, fleet and retry. This package forwards requests and answers, follows the
+// platform's store or another gateway that reads it, and shuts down without interrupting
+// requests.
 //
 // # Usage
 //
@@ -41,19 +41,19 @@
 	"github.com/gladegauge/gladegauge/platform"
 )
 
-// sweepEvery is how often idle connections are looked through.
-const sweepEvery = time.Second
+// sweepInterval is the interval at which idle connections and expired state are removed.
+const sweepInterval = time.Second
 
 // Options are the settings of a gateway.
 type Options struct {
 	Settings platform.Settings
-	// SettingsPath is the file that the settings came from.
+	// SettingsPath is the file that the settings were read from.
 	SettingsPath string
-	// MetricsPort serves the metrics on this host's address; 0 for none.
+	// MetricsPort is the port of the metrics on this host's address; 0 disables them.
 	MetricsPort int
 	Stop        StopTimes
-	// Clock returns the present time, by a clock that goes on while the host is
-	// suspended (package clock); that of the host if it is nil.
+	// Clock returns the current time. It must keep running while the host is suspended
+	// (package clock), and defaults to the clock of the host.
 	Clock func() time.Time
 	Log   zerolog.Logger
 	// LogsDropped returns the number of log lines that were dropped.
@@ -67,98 +67,101 @@
 	now     func() time.Time
 	control *loop.Loop
 	view    atomic.Pointer[ingress.View]
-	// addresses are those of the upstreams on the list.
+	// addresses are those of the listed upstreams. The value is false if no idle
+	// connections to the address are kept.
 	addresses atomic.Pointer[map[string]bool]
-	// closed is what upstreams said of themselves, for a last look before a request goes out.
+	// closed is the state that upstreams reported about themselves. It is checked once
+	// more just before a request is sent.
 	closed  atomic.Pointer[notice.Closed]
 	bounds  atomic.Pointer[gateway.Bounds]
 	client  *exchange.Client
-	metrics *meters
-	// traffic is the transport of peerClient, which calls other gateways.
-	traffic    *traffic
-	peerClient *http.Client
-	listeners  *listeners
+	metrics *serverMetrics
+	// peerTransport is the transport of peerClient, which calls other gateways.
+	peerTransport *peerTransport
+	peerClient    *http.Client
+	listeners     *listeners
 	// inFlight is the number of requests in progress.
 	inFlight atomic.Int64
-	// lastSeen is when the latest request came, in nanoseconds since 1970; 0
+	// lastRequestAt is when the latest request arrived, in nanoseconds since 1970; 0
 	// before the first.
-	lastSeen atomic.Int64
-	// stoppingAt is when the planned stop began; nil before.
+	lastRequestAt atomic.Int64
+	// stoppingAt is when the planned shutdown began; nil before it.
 	stoppingAt atomic.Pointer[time.Time]
 
-	// Only the control goroutine touches these.
+	// The fields below are used only in the control goroutine.
 	table  *balance.Table
 	roster *roster.Roster
-	// lapseTimer ends the time of the first lapsed entry; nil if there is none.
-	lapseTimer *time.Timer
-	// budgets bound the retries of each pool.
+	// expiryTimer fires when the first retained entry expires; nil if there is none.
+	expiryTimer *time.Timer
+	// budgets are the retry budgets by pool.
 	budgets map[string]*retry.Window
 	fleet   *fleet.Fleet
-	// occupancy is what other gateways told that they have at the upstreams.
+	// occupancy holds the loads that other gateways reported.
 	occupancy *occupancy.Book
-	// ownAt is when the sums saw last what this gateway itself has.
-	ownAt time.Time
-	// kept is what gateways told of the prompts that engines keep.
-	kept *occupancy.PartLog
-	// promised are the operators' bounds of the latest settings.
-	promised platform.Bounds
-	// gateways is the number of gateways that the retry budget is split over.
+	// ownLoadAt is when the load of this gateway was last added to occupancy.
+	ownLoadAt time.Time
+	// partLog holds the reports of gateways on the prompt parts that engines cache.
+	partLog *occupancy.PartLog
+	// operatorBounds are the operators' bounds in the latest settings.
+	operatorBounds platform.Bounds
+	// gateways is the number of gateways that share the retry budget.
 	gateways int
-	// sizeLogged is the number that was logged last.
-	sizeLogged int
-	// suspects are the requests under which upstreams ended, and lost those that broke
-	// off a moment ago.
+	// loggedSize is the number of gateways in the latest log line about it.
+	loggedSize int
+	// suspects are the requests that upstreams crashed under, and lost those whose
+	// upstream connection broke recently.
 	suspects *suspects.Book
 	lost     []suspects.Lost
 	feed     *feed.Feed
-	// written is the configuration as the store held it when it was read here last,
-	// settling the time in which a store that came back from a copy proves nothing.
-	written  written
-	settling settling
-	// feedChanged is closed when there is news for followers.
+	// storedConfig is the configuration that was last read from the store itself, and
+	// restoreWindow the time in which a store that was restored from a copy proves
+	// nothing.
+	storedConfig  storedConfig
+	restoreWindow restoreWindow
+	// feedChanged is closed when there are updates for followers.
 	feedChanged chan struct{}
-	// readAt is when the store was asked, by whomever, for all that is known here; zero if
-	// that is not known.
-	readAt time.Time
-	// storeLostAt is when a call to the store failed last, storeFailedAt the same for any
-	// gateway that this one heard of.
-	storeLostAt   time.Time
-	storeFailedAt time.Time
-	// configUnread is true while the newest configuration cannot be read.
-	configUnread bool
+	// storeReadAt is when the store was queried, by any gateway, for the state that is
+	// known here; zero if that is unknown.
+	storeReadAt time.Time
+	// ownStoreFailedAt is when a call of this gateway to the store last failed,
+	// storeFailedAt the same for all gateways that it has heard of.
+	ownStoreFailedAt time.Time
+	storeFailedAt    time.Time
+	// configUnreadable is true while the newest configuration cannot be decoded.
+	configUnreadable bool
 }
 
-// New returns a gateway that does not run yet.
+// New returns a gateway that is not running yet.
 func New(o *Options) *Server {
 	now := o.Clock
 	if now == nil {
 		now = clock.New().Now
 	}
 	s := &Server{
-		o:           o,
-		log:         o.Log,
-		now:         now,
-		control:     loop.New(now),
-		table:       balance.New(o.Settings.Zone),
-		roster:      roster.New(),
-		budgets:     make(map[string]*retry.Window),
-		fleet:       fleet.New(fleet.Member{Zone: o.Settings.Zone}),
-		occupancy:   occupancy.New(),
-		kept:        occupancy.NewPartLog(),
-		gateways:    assumedGateways,
-		sizeLogged:  assumedGateways,
-		promised:    o.Settings.Bounds,
-		feed:        feed.New(),
-		feedChanged: make(chan struct{}),
+		o:              o,
+		log:            o.Log,
+		now:            now,
+		control:        loop.New(now),
+		table:          balance.New(o.Settings.Zone),
+		roster:         roster.New(),
+		budgets:        make(map[string]*retry.Window),
+		fleet:          fleet.New(fleet.Member{Zone: o.Settings.Zone}),
+		occupancy:      occupancy.New(),
+		partLog:        occupancy.NewPartLog(),
+		gateways:       assumedGateways,
+		loggedSize:     assumedGateways,
+		operatorBounds: o.Settings.Bounds,
+		feed:           feed.New(),
+		feedChanged:    make(chan struct{}),
 	}
-	bounds := boundsOf(o.Settings.Bounds)
+	bounds := admissionBounds(o.Settings.Bounds)
 	s.bounds.Store(&bounds)
 	s.table.SetColdLimits(coldLimits(o.Settings.Bounds), s.holds)
 	s.table.SetLimitBounds(limitBounds(), func() int { return s.fleet.Remembered() })
 	s.view.Store(&ingress.View{})
-	s.metrics = newMeters(o.LogsDropped, func() uint64 { return ageOf(s.view.Load(), s.now()) })
-	s.traffic = newTraffic(s.metrics.peerBytes)
-	s.peerClient = &http.Client{Transport: s.traffic}
+	s.metrics = newServerMetrics(o.LogsDropped, func() uint64 { return viewAgeMs(s.view.Load(), s.now()) })
+	s.peerTransport = newPeerTransport(s.metrics.peerBytes)
+	s.peerClient = &http.Client{Transport: s.peerTransport}
 	s.addresses.Store(&map[string]bool{})
 	s.closed.Store(&notice.Closed{})
 	s.client = exchange.New(exchange.Options{
@@ -169,17 +172,17 @@
 	return s
 }
 
-// Run serves until the context ends and what was in progress has its answer.
+// Run serves until the context ends and all requests in progress are answered.
 func (s *Server) Run(ctx context.Context) error {
-	// The work outlives the context: a planned stop cuts nothing.
+	// The work outlives the context, so that a planned shutdown interrupts no request.
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	listeners := s.listeners
 	if listeners == nil {
-		return errors.AssertionFailedf("Run needs Listen first")
+		return errors.AssertionFailedf("Run called before Listen")
 	}
 	//nolint:gosec // The number only tells starts apart.
-	s.suspects = suspects.New(suspect.NewRegistry(s.hash(), rand.Uint64()), s.log)
+	s.suspects = suspects.New(suspect.NewRegistry(s.addressHash(), rand.Uint64()), s.log)
 	//nolint:gosec // Jitter needs no secret randomness.
 	s.fleet.Started(s.now(), s.o.Settings.Seeds, s.o.Settings.FirstStart, rand.Uint64())
 	group, work := errgroup.WithContext(work)
@@ -187,10 +190,10 @@
 	group.Go(func() error { return s.follow(work) })
 	if s.o.Settings.Peers != "" {
 		group.Go(func() error { return s.exchangeLoop(work) })
-		group.Go(func() error { return s.tellLoop(work) })
+		group.Go(func() error { return s.reportLoop(work) })
 	}
-	group.Go(func() error { return s.control.Every(work, sweepEvery, s.sweep) })
-	group.Go(func() error { return s.control.Every(work, resourcesEvery, s.logResources) })
+	group.Go(func() error { return s.control.Every(work, sweepInterval, s.sweep) })
+	group.Go(func() error { return s.control.Every(work, resourcesInterval, s.logResources) })
 	listeners.serve(work, group, s)
 	group.Go(func() error {
 		defer cancel()
@@ -205,16 +208,16 @@
 	return group.Wait()
 }
 
-// holds reports whether this gateway is one of the first n for the key. It runs in the
-// control goroutine.
+// holds reports whether this gateway is one of the first n in rendezvous order for the
+// key. It runs in the control goroutine.
 func (s *Server) holds(now time.Time, key uint64, n int) bool { return s.fleet.Holds(now, key, n) }
 
-// sweep forgets what is no longer used. It runs in the control goroutine.
+// sweep removes state that is no longer used. It runs in the control goroutine.
 func (s *Server) sweep(now time.Time) {
 	s.suspects.Sweep(now, s.metrics.suspects)
 	s.table.ForgetParts(now)
 	if end, ok := s.roster.NextExpiry(); ok && !now.Before(end) {
-		// The timer goes off late after a suspension.
+		// The expiry timer fires late after the host was suspended.
 		s.applyRoster(now)
 	}
 	wanted := *s.addresses.Load()
--- a/internal/edge/gatewayd/slow_test.go
+++ b/internal/edge/gatewayd/slow_test.go
@@ -24,7 +24,7 @@
 // over, and nothing was run.
 func TestSlowBody(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, fine)
+	w := newTestEnv(t, 1, replyOK)
 	conn := w.beginBody("/short/1", 10, "ab")
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	is.NoErr(err)
@@ -37,7 +37,7 @@
 func TestBodyDeadlineEnds(t *testing.T) {
 	is := is.New(t)
 	hold := make(chan struct{})
-	w := newWorld(t, 1, func(int, standin.Request) standin.Reply { return standin.Reply{Body: "ok", Hold: hold} })
+	w := newTestEnv(t, 1, func(int, standin.Request) standin.Reply { return standin.Reply{Body: "ok", Hold: hold} })
 	done := make(chan standin.Answer, 1)
 	w.group.Go(func() error {
 		done <- w.caller.Call(context.Background(), standin.Request{ID: "r", Host: "x.example", URI: "/write/1", Key: "key-a", Body: "hello"})
@@ -51,7 +51,7 @@
 // Settings that are read again do not fill the retry budget.
 func TestReloadKeepsTheBudget(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, fine)
+	w := newTestEnv(t, 1, replyOK)
 	path := filepath.Join(t.TempDir(), "settings.conf")
 	text, err := os.ReadFile("../../../platform/testdata/settings.conf")
 	is.NoErr(err)
@@ -72,15 +72,15 @@
 // key may have been taken away in it.
 func TestFaultyConfigurationProvesNothing(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, fine)
+	w := newTestEnv(t, 1, replyOK)
 	w.store.PutRawConfig([]byte("{"))
 	w.await(func() bool {
 		unread := false
-		w.server.control.Must(func(time.Time) { unread = w.server.configUnread })
+		w.server.control.Must(func(time.Time) { unread = w.server.configUnreadable })
 		return unread
 	})
 	before := w.server.view.Load().NewestAt
-	w.server.control.Must(func(now time.Time) { w.server.applyTable(nil, true, now, fromStore) })
+	w.server.control.Must(func(now time.Time) { w.server.applyTable(nil, true, now, sourceStore) })
 	is.Equal(w.server.view.Load().NewestAt, before)
 	w.store.PutConfig(configuration(2))
 	w.await(func() bool { return w.server.view.Load().Table.Version == 2 })
@@ -90,7 +90,7 @@
 // The first byte that counts is the one that the caller got.
 func TestFirstByteOfAReplacedError(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 2, fine)
+	w := newTestEnv(t, 2, replyOK)
 	x := &request{server: w.server, began: time.Now().Add(-time.Second), patience: &patience{}}
 	x.answerBegan(answer{head: platform.Answer{}})
 	is.Equal(x.firstByte, time.Duration(0))
@@ -99,8 +99,8 @@
 // An error that is too large to keep is logged with its cause.
 func TestLargeErrorHasACause(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, func(int, standin.Request) standin.Reply {
-		return standin.Reply{Status: 500, Body: strings.Repeat("x", holdBytes+1)}
+	w := newTestEnv(t, 1, func(int, standin.Request) standin.Reply {
+		return standin.Reply{Status: 500, Body: strings.Repeat("x", maxBufferedBytes+1)}
 	})
 	is.Equal(w.call("/write/1").Status, http.StatusBadGateway)
 	w.await(func() bool { return strings.Contains(w.logs.String(), `"message":"ended"`) })
@@ -147,7 +147,7 @@
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			is := is.New(t)
 			slow := make(chan struct{})
-			w := newWorld(t, n, func(i int, _ standin.Request) standin.Reply {
+			w := newTestEnv(t, n, func(i int, _ standin.Request) standin.Reply {
 				if i > 0 {
 					return standin.Reply{Body: "quick"}
 				}
--- a/internal/edge/gatewayd/source.go
+++ b/internal/edge/gatewayd/source.go
@@ -12,8 +12,8 @@
 	"github.com/gladegauge/gladegauge/platform"
 )
 
-// askPeer asks another gateway for what it knows.
-func (f *follower) askPeer(ctx context.Context, q reader.Query) {
+// queryPeer queries another gateway for its state.
+func (f *follower) queryPeer(ctx context.Context, q reader.Query) {
 	ctx, cancel := context.WithTimeout(ctx, q.Timeout)
 	defer cancel()
 	asked := f.server.now()
@@ -21,7 +21,7 @@
 		Epoch:    f.position.Epoch,
 		Revision: f.position.Revision,
 		WaitMs:   wholeMilliseconds(q.Wait),
-		AgeMs:    f.ageToTell(asked),
+		AgeMs:    f.proofAge(asked),
 	}))
 	f.server.metrics.peerCall("follow", err)
 	if err != nil {
@@ -29,28 +29,28 @@
 		return
 	}
 	f.reader.PeerAnswered(f.server.now())
-	f.server.control.Must(func(now time.Time) { f.server.hearOfStore(now, q.Address, resp.Msg) })
+	f.server.control.Must(func(now time.Time) { f.server.recordPeerStoreState(now, q.Address, resp.Msg) })
 	before := f.server.view.Load().NewestAt
-	f.takeFrom(asked, q.Address, resp.Msg)
-	f.stuckAt = time.Time{}
+	f.applyPeerAnswer(asked, q.Address, resp.Msg)
+	f.stalledProofAt = time.Time{}
 	atOnce := wholeMilliseconds(q.Wait) > resp.Msg.GetHeldMs()
 	if atOnce && len(resp.Msg.GetEntries()) == 0 && f.server.view.Load().NewestAt.Equal(before) {
-		f.stuckAt = before
+		f.stalledProofAt = before
 	}
-	f.noteRenewed(f.server.now(), q.Address)
+	f.logRenewed(f.server.now(), q.Address)
 }
 
-// ageToTell is the age of the proof to tell a parent, which answers at once if it has a
-// newer one; nil while such answers bring none that can be taken.
-func (f *follower) ageToTell(now time.Time) *uint32 {
-	if !f.stuckAt.IsZero() && f.server.view.Load().NewestAt.Equal(f.stuckAt) {
+// proofAge returns the age of the proof to report to a parent, which answers at once if it
+// has a newer one. It is nil while such answers bring no proof that can be applied.
+func (f *follower) proofAge(now time.Time) *uint32 {
+	if !f.stalledProofAt.IsZero() && f.server.view.Load().NewestAt.Equal(f.stalledProofAt) {
 		return nil
 	}
-	return f.server.ageToTell(now)
+	return f.server.proofAge(now)
 }
 
-// peerFailed notes a gateway that did not answer. One that knows nothing of the store
-// yet may know it in a moment.
+// peerFailed records that a gateway did not answer. One that does not know the store's
+// state yet may know it soon, and does not count as failed.
 func (f *follower) peerFailed(address string, err error) {
 	f.reader.PeerFailed(f.position.Known())
 	if !f.position.Known() && connect.CodeOf(err) == connect.CodeFailedPrecondition {
@@ -59,63 +59,61 @@
 	f.server.control.Must(func(now time.Time) { f.server.fleet.CallFailed(now, address) })
 }
 
-// takeFrom brings another gateway's news into force. The answer was made at the
-// moment of the question and the time that it was held, or later: no delay on the
-// way makes what it proves look younger. One that has yet to learn that the store came
-// back from a copy has no news, and its proof is not taken: this gateway would wait for
-// it.
-func (f *follower) takeFrom(asked time.Time, from string, resp *gladegaugev1.FollowResponse) {
+// applyPeerAnswer applies the state of another gateway. The answer was made at the time of
+// the query plus the time it was held, or later, so that no network delay makes its proof
+// look younger. A gateway that has not learned yet that the store was restored from a copy
+// has nothing new, and its proof is ignored: this gateway would otherwise wait for it.
+func (f *follower) applyPeerAnswer(asked time.Time, from string, resp *gladegaugev1.FollowResponse) {
 	position := positionOf(resp)
 	if position.Epoch < f.position.Epoch {
 		return
 	}
-	made := asked.Add(time.Duration(resp.GetHeldMs()) * time.Millisecond)
+	answeredAt := asked.Add(time.Duration(resp.GetHeldMs()) * time.Millisecond)
 	c := platform.DecodeEntries(entriesOf(f.server.now(), resp))
-	f.server.report(c.Faults)
+	f.server.logFaults(c.Faults)
 	behind := position.Before(f.position)
 	f.reader.PeerStateReceived(f.position.Before(position))
 	f.position = f.position.Later(position)
 	s := f.server
 	s.control.Must(func(now time.Time) {
 		if resp.GetOutage() {
-			s.roster.Recovered(made.Add(-time.Duration(resp.GetOutageAgeMs()) * time.Millisecond))
+			s.roster.Recovered(answeredAt.Add(-time.Duration(resp.GetOutageAgeMs()) * time.Millisecond))
 		}
-		s.takeEntries(now, position, c, resp.GetWhole())
+		s.applyEntries(now, position, c, resp.GetWhole())
 		s.applyTable(c.Table, !c.ConfigFaulty(), time.Time{}, from)
 		if resp.ReadAgeMs != nil && !behind {
-			s.wasRead(made.Add(-time.Duration(resp.GetReadAgeMs()) * time.Millisecond))
+			s.recordRead(answeredAt.Add(-time.Duration(resp.GetReadAgeMs()) * time.Millisecond))
 		}
-		s.takeProof(resp.GetVersion(), made.Add(-time.Duration(resp.GetAgeMs())*time.Millisecond))
+		s.applyPeerProof(resp.GetVersion(), answeredAt.Add(-time.Duration(resp.GetAgeMs())*time.Millisecond))
 	})
 }
 
-// takeEntries takes the entries of another gateway's answer, and passes them on.
-// It runs in the control goroutine.
-func (s *Server) takeEntries(now time.Time, p feed.Position, c platform.Changes, whole bool) {
+// applyEntries applies the entries of another gateway's answer and passes them on to
+// followers. It runs in the control goroutine.
+func (s *Server) applyEntries(now time.Time, p feed.Position, c platform.Changes, whole bool) {
 	if len(c.Entries) == 0 && !whole {
 		return
 	}
 	if whole {
-		s.takeWhole(now, p, c)
+		s.applySnapshot(now, p, c)
 		return
 	}
-	s.feedFrom(p, c.Entries, false)
+	s.addToFeed(p, c.Entries, false)
 	s.changeRoster(now, c)
 }
 
-// takeProof takes what another gateway proves: that its version was the newest
-// then. It says nothing of another version. It runs in the control goroutine.
-func (s *Server) takeProof(version int64, proof time.Time) {
+// applyPeerProof applies another gateway's proof that its version was the newest at that
+// time. It proves nothing about other versions. It runs in the control goroutine.
+func (s *Server) applyPeerProof(version int64, proof time.Time) {
 	view := *s.view.Load()
-	if view.Table == nil || view.Table.Version != version || s.configUnread {
+	if view.Table == nil || view.Table.Version != version || s.configUnreadable {
 		return
 	}
-	s.prove(view, proof)
+	s.recordProof(view, proof)
 }
 
-// feedFrom passes what was read on to the followers. It runs in the control
-// goroutine.
-func (s *Server) feedFrom(p feed.Position, entries []feed.Entry, whole bool) {
+// addToFeed passes the entries on to the followers. It runs in the control goroutine.
+func (s *Server) addToFeed(p feed.Position, entries []feed.Entry, whole bool) {
 	if whole {
 		s.feed.Replace(p, entries)
 	} else {
--- a/internal/edge/gatewayd/state_test.go
+++ b/internal/edge/gatewayd/state_test.go
@@ -20,7 +20,7 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// closedAddress is an address where nobody listens.
+// closedAddress returns an address that nothing listens on.
 func closedAddress(t *testing.T) net.Addr {
 	t.Helper()
 	is := is.New(t)
@@ -34,42 +34,42 @@
 	return &net.TCPAddr{IP: at.Addr[:], Port: at.Port}
 }
 
-func fine(int, standin.Request) standin.Reply { return standin.Reply{Body: "ok"} }
+func replyOK(int, standin.Request) standin.Reply { return standin.Reply{Body: "ok"} }
 
-// A process that knows no configuration promises nothing and denies nothing.
+// A gateway without a configuration is not ready, and becomes ready once the store works.
 func TestStartWithoutStore(t *testing.T) {
 	for _, trouble := range []standin.Trouble{standin.Busy, standin.Limited, standin.Cut, standin.Nonsense} {
-		w := &world{t: t, is: is.New(t), store: standin.NewStore(t)}
+		w := &testEnv{t: t, is: is.New(t), store: standin.NewStore(t)}
 		w.store.PutConfig(configuration(1))
 		w.store.SetTrouble(trouble)
-		w.start(boundsOfTests())
+		w.start(testBounds())
 		w.is.Equal(w.readiness(), 503)
 		w.store.SetTrouble(standin.Well)
 		w.await(func() bool { return w.readiness() == 200 })
 	}
 }
 
-// A process that starts from a stale listing is not ready, and honours no key,
-// before it is up to date: a key may have been taken away in between.
+// A gateway that starts from a stale listing is not ready and accepts no key before it is
+// up to date, because a key may have been revoked in between.
 func TestStartFromStaleListing(t *testing.T) {
-	w := &world{t: t, is: is.New(t), store: standin.NewStore(t)}
+	w := &testEnv{t: t, is: is.New(t), store: standin.NewStore(t)}
 	w.store.PutConfig(configuration(1))
 	w.store.Freeze()
 	next := configuration(2)
 	next.Keys = map[string][]string{"org-a": {"key-b"}}
 	w.store.PutConfig(next)
-	w.start(boundsOfTests())
+	w.start(testBounds())
 	w.await(func() bool { return w.readiness() == 200 })
 	w.is.Equal(w.server.view.Load().Table.Version, int64(2))
 	w.is.Equal(w.call("/read/1").Status, 401)
 	w.is.Equal(w.store.Waits()[0], time.Millisecond)
 }
 
-// Every change arrives: configurations, upstreams, and both after the store has
-// forgotten its history.
+// Every change arrives: configurations, upstreams, and both after the store has compacted
+// its history.
 func TestChangesArrive(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 2, fine)
+	w := newTestEnv(t, 2, replyOK)
 	is.Equal(w.call("/read/1").Status, 200)
 
 	dropped := configuration(2)
@@ -89,13 +89,13 @@
 	w.await(func() bool { return w.server.view.Load().Table.Version == 3 && w.upstreams() == 0 })
 }
 
-// A configuration comes into force in its time also where keys may be honoured at
-// any age, and while a store that forgets its history says nothing to watches.
-func TestConfigurationWhileHistoryGoes(t *testing.T) {
+// A configuration takes effect in time even if keys may be accepted at any age, and if a
+// store that compacts its history does not answer pending watches.
+func TestConfigurationDuringCompaction(t *testing.T) {
 	is := is.New(t)
-	w := &world{t: t, is: is, store: standin.NewStore(t)}
+	w := &testEnv{t: t, is: is, store: standin.NewStore(t)}
 	w.store.PutConfig(configuration(1))
-	b := boundsOfTests()
+	b := testBounds()
 	b.StrictRevocation = false
 	b.ConfigWithin = 400 * time.Millisecond
 	w.start(b)
@@ -110,10 +110,11 @@
 	}
 }
 
-// A faulty configuration changes nothing, and the view is no longer proved.
+// An invalid configuration changes nothing, and the view is no longer proved while it is
+// the newest.
 func TestFaultyConfiguration(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, fine)
+	w := newTestEnv(t, 1, replyOK)
 	for _, value := range []string{"{", `{"version":0}`, `{"version":9,"routes":[{"name":"r","path_prefix":"x"}]}`} {
 		before := w.server.view.Load().NewestAt
 		calls := w.store.Calls()
@@ -125,10 +126,10 @@
 	is.Equal(w.call("/read/1").Status, 200)
 }
 
-// Keys are honoured only while the view is provably young, whoever is cut off.
+// Keys are accepted only while the view is provably recent, whichever side is cut off.
 func TestRevocationWithoutStore(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, fine)
+	w := newTestEnv(t, 1, replyOK)
 	is.Equal(w.call("/read/1").Status, 200)
 	w.store.SetTrouble(standin.Silent)
 	old := *w.server.view.Load()
@@ -140,10 +141,10 @@
 	is.Equal(len(w.ran()), 1)
 }
 
-// A key that was taken away is refused as soon as the change arrives.
+// A revoked key is refused as soon as the change arrives.
 func TestRevocation(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, fine)
+	w := newTestEnv(t, 1, replyOK)
 	next := configuration(2)
 	next.Keys = map[string][]string{"org-a": {"key-b"}}
 	w.store.PutConfig(next)
@@ -151,12 +152,12 @@
 	is.Equal(w.call("/read/1").Status, 401)
 }
 
-// A planned stop answers what is in progress, also on a kept connection, and
-// refuses truthfully what comes too late.
+// A planned shutdown answers the requests in progress, also on a kept connection, and
+// refuses later ones without running them.
 func TestPlannedStop(t *testing.T) {
 	is := is.New(t)
 	hold := make(chan struct{})
-	w := newWorld(t, 1, func(n int, _ standin.Request) standin.Reply {
+	w := newTestEnv(t, 1, func(n int, _ standin.Request) standin.Reply {
 		if n == 1 {
 			return standin.Reply{Body: "late", Hold: hold}
 		}
@@ -174,7 +175,7 @@
 	a := w.call("/write/3")
 	is.Equal(a.Status, 200)
 	is.True(a.Closing)
-	began := time.Now().Add(-2 * w.server.o.Stop.LastCallAfter)
+	began := time.Now().Add(-2 * w.server.o.Stop.RejectAfter)
 	w.server.stoppingAt.Store(&began)
 	a = w.call("/write/4")
 	is.Equal(a.Status, 503)
@@ -186,12 +187,12 @@
 	is.Equal(a.Body, "late")
 }
 
-// The first watch after an outage is answered at once. Found in an incident:
-// three of four gateways refused every key for 1.8 s after the store was back,
-// since they waited in a watch for changes that did not come.
+// The first watch after an outage is answered at once. Otherwise gateways wait in a watch
+// for changes that do not come: three of four gateways refused every key for 1.8 s after
+// the store was back.
 func TestReturnOfTheStore(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, fine)
+	w := newTestEnv(t, 1, replyOK)
 	w.await(func() bool { return len(w.store.Waits()) > 0 })
 	w.store.SetTrouble(standin.Cut)
 	calls := w.store.Calls()
@@ -201,9 +202,9 @@
 	is.Equal(w.store.Waits()[0], time.Millisecond)
 }
 
-// Only a watch that waited to its end without a change proves more than the
-// moment at which it was asked.
-func TestWhatAWatchProves(t *testing.T) {
+// Only a watch that waited until its end without a change proves more than the time of its
+// query.
+func TestProofOfWatch(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	wait := 2 * time.Second
 	tests := []struct {
@@ -226,11 +227,12 @@
 	}
 }
 
-// The load in the head of a stream is as old as the head when the stream ends.
-func TestLoadOfStreamIsNotedOnce(t *testing.T) {
+// The load in the head of a stream is not recorded again when the stream ends, because it
+// is as old as the head.
+func TestLoadOfStreamIsRecordedOnce(t *testing.T) {
 	is := is.New(t)
 	pause := make(chan struct{})
-	w := newWorld(t, 1, func(int, standin.Request) standin.Reply {
+	w := newTestEnv(t, 1, func(int, standin.Request) standin.Reply {
 		return standin.Reply{Events: []string{"1", "2"}, Pause: pause}
 	})
 	var group errgroup.Group
@@ -256,13 +258,13 @@
 	is.True(loadAge() > old)
 }
 
-// The time to the kill is that of the latest settings.
-func TestStopKeepsToReloadedSettings(t *testing.T) {
+// The time until the kill is that of the latest settings.
+func TestStopUsesReloadedSettings(t *testing.T) {
 	is := is.New(t)
 	hold := make(chan struct{})
 	defer close(hold)
-	w := newWorld(t, 1, func(int, standin.Request) standin.Reply { return standin.Reply{Body: "late", Hold: hold} })
-	w.server.control.Must(func(time.Time) { w.server.promised.StopWithin = stopReserve })
+	w := newTestEnv(t, 1, func(int, standin.Request) standin.Reply { return standin.Reply{Body: "late", Hold: hold} })
+	w.server.control.Must(func(time.Time) { w.server.operatorBounds.StopWithin = stopReserve })
 	var group errgroup.Group
 	group.Go(func() error {
 		w.call("/read/1")
@@ -275,7 +277,7 @@
 }
 
 // Callers are accepted once the configuration is proved to be the newest, or after a
-// moment: before, they would be told to come back.
+// timeout. Earlier they would be told to retry later.
 func TestCallersWaitForTheProof(t *testing.T) {
 	for _, proved := range []bool{true, false} {
 		t.Run(fmt.Sprint(proved), func(t *testing.T) {
@@ -284,7 +286,7 @@
 			s.view.Store(&ingress.View{Table: &ingress.Table{Limits: ingress.Limits{HeaderBytes: 77}}})
 			if proved {
 				view := s.view.Load().WithProof(time.Now())
-				time.AfterFunc(proofPatience/4, func() { s.view.Store(&view) })
+				time.AfterFunc(proofWaitTimeout/4, func() { s.view.Store(&view) })
 			}
 			server := &http.Server{ReadHeaderTimeout: time.Second}
 			s.awaitLimits(context.Background(), server)
--- a/internal/edge/gatewayd/stop.go
+++ b/internal/edge/gatewayd/stop.go
@@ -7,32 +7,33 @@
 	"github.com/gladegauge/gladegauge/internal/edge/program"
 )
 
-// stopReserve is kept of the time until the kill to end in order.
+// stopReserve is the part of the time until the kill that is reserved for an orderly exit.
 const stopReserve = 400 * time.Millisecond
 
-// StopTimes are the times of a planned stop, from its beginning.
+// StopTimes are the phases of a planned shutdown, measured from its beginning.
 type StopTimes struct {
-	// LeaveAfter is how long callers may still come after readiness is off.
-	LeaveAfter time.Duration
-	// LastCallAfter is when requests are refused that still come, so that those
-	// in progress end in time.
-	LastCallAfter time.Duration
-	// QuietFor is how long no request must have come before the process ends.
-	QuietFor time.Duration
+	// MinDrain is the least time that the gateway keeps serving after it is no longer
+	// ready, because callers may still be routed to it.
+	MinDrain time.Duration
+	// RejectAfter is when the gateway starts to refuse new requests, so that those in
+	// progress finish in time.
+	RejectAfter time.Duration
+	// QuietPeriod is the time without new requests after which the process may exit.
+	QuietPeriod time.Duration
 }
 
-// DefaultStopTimes suit a balancer that asks every second and leaves a host out
-// after two misses, and upstreams that work on a request for a few seconds.
+// DefaultStopTimes suit a load balancer that probes every second and removes a host after
+// two failed probes, and upstreams that process a request within a few seconds.
 func DefaultStopTimes() StopTimes {
 	return StopTimes{
-		LeaveAfter:    2500 * time.Millisecond,
-		LastCallAfter: 3 * time.Second,
-		QuietFor:      300 * time.Millisecond,
+		MinDrain:    2500 * time.Millisecond,
+		RejectAfter: 3 * time.Second,
+		QuietPeriod: 300 * time.Millisecond,
 	}
 }
 
-// drain ends new work and returns when nothing is in progress, or shortly
-// before the process would be killed.
+// drain signals that the gateway is not ready, and returns when no request is in progress,
+// or shortly before the process would be killed.
 func (s *Server) drain(ctx context.Context) {
 	stop := s.o.Stop
 	began := s.now()
@@ -40,17 +41,17 @@
 	var stopWithin time.Duration
 	s.control.Must(func(time.Time) {
 		s.fleet.Leave()
-		stopWithin = s.promised.StopWithin
+		stopWithin = s.operatorBounds.StopWithin
 	})
 	s.log.Info().Int64("in_progress", s.inFlight.Load()).Msg("planned stop: not ready for new callers")
-	limit := max(stop.LeaveAfter, stopWithin-stopReserve)
+	limit := max(stop.MinDrain, stopWithin-stopReserve)
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	err := program.WaitUntil(ctx, func() bool {
 		now := s.now()
 		took := now.Sub(began)
-		quiet := took >= stop.LastCallAfter || now.Sub(time.Unix(0, s.lastSeen.Load())) >= stop.QuietFor
-		return took >= stop.LeaveAfter && quiet && s.inFlight.Load() == 0
+		quiet := took >= stop.RejectAfter || now.Sub(time.Unix(0, s.lastRequestAt.Load())) >= stop.QuietPeriod
+		return took >= stop.MinDrain && quiet && s.inFlight.Load() == 0
 	})
 	if err != nil {
 		s.log.Warn().Int64("cut", s.inFlight.Load()).Dur("after", limit).Msg("planned stop: out of time")
