--- a/internal/edge/gatewayd/suspects.go
+++ b/internal/edge/gatewayd/suspects.go
@@ -14,23 +14,25 @@
 )
 
 const (
-	// lostFor is how long after a request broke off the end of its upstream is laid to
-	// it: by then a connection to it was tried.
-	lostFor = 3 * time.Second
-	// lostKept bounds the requests that broke off a moment ago.
-	lostKept = 1024
+	// lostRetention is the time after a request's connection broke in which the end of its
+	// upstream is attributed to the request. A new connection to the upstream has been
+	// tried by then.
+	lostRetention = 3 * time.Second
+	// maxLost bounds the number of requests whose connection broke recently.
+	maxLost = 1024
 )
 
-// hash is that of this gateway's address; 0 if it has none for other gateways.
-func (s *Server) hash() uint64 {
+// addressHash returns the hash of this gateway's address; 0 if it has no address for other
+// gateways.
+func (s *Server) addressHash() uint64 {
 	if s.o.Settings.Peers == "" {
 		return 0
 	}
 	return xxhash.Sum64String(s.PeersAddress())
 }
 
-// enter holds the request against those under which upstreams ended.
-func (x *request) enter() *gateway.Refusal {
+// checkSuspect checks the request against those that upstreams crashed under.
+func (x *request) checkSuspect() *gateway.Refusal {
 	if !x.server.suspects.Any() {
 		return nil
 	}
@@ -50,27 +52,27 @@
 	return nil
 }
 
-// leave notes that the request runs no more.
-func (x *request) leave() {
+// releaseSuspect records that a quarantined request no longer runs.
+func (x *request) releaseSuspect() {
 	if x.quarantined {
 		x.server.control.Must(func(time.Time) { x.server.suspects.Release(x.printed()) })
 	}
 }
 
-// survived reports whether the attempt showed that the request does its upstream no
-// harm: it was answered with success, or had run for long.
+// survived reports whether the attempt showed that the request does not crash its
+// upstream: it was answered with success, or ran for long.
 func (x *request) survived(o balance.Outcome) bool {
 	return (o == balance.Completed && x.sound) || x.ranForLong()
 }
 
-// ranForLong reports whether the stream of the present attempt had gone on for long.
+// ranForLong reports whether the stream of the current attempt ran for long.
 func (x *request) ranForLong() bool {
 	return !x.firstAt.IsZero() && x.server.now().Sub(x.firstAt) >= suspects.SoundFor
 }
 
-// lostAt looks whether the upstream ended under the request, and returns what may be
-// done with it now. The end of one that was leaving is no surprise.
-func (x *request) lostAt(ctx context.Context, c balance.Choice) suspect.Verdict {
+// checkLost checks whether the upstream ended while it ran the request, and returns the
+// verdict on the request. The end of a leaving upstream is expected and does not count.
+func (x *request) checkLost(ctx context.Context, c balance.Choice) suspect.Verdict {
 	if x.ranForLong() {
 		return suspect.Free
 	}
@@ -79,24 +81,24 @@
 		Print: x.printed(), Request: x.call.ID, Organisation: x.organisation(),
 		Start: c.Start(), Upstream: c.ID, Ran: s.now().Sub(x.sentAt),
 	}
-	leaves, known := false, false
+	leaving, known := false, false
 	s.control.Must(func(now time.Time) {
-		if leaves = s.table.Leaves(c.ID); leaves {
+		if leaving = s.table.Leaves(c.ID); leaving {
 			return
 		}
 		lost.At = now
 		s.lost = append(s.lost, lost)
-		s.lost = s.lost[max(0, len(s.lost)-lostKept):]
+		s.lost = s.lost[max(0, len(s.lost)-maxLost):]
 		known = s.table.IsGone(now, c.Instance)
 	})
-	if leaves {
+	if leaving {
 		return suspect.Free
 	}
 	ended := known || s.client.Refuses(ctx, c.Address, suspects.ProbeTimeout)
 	v := suspect.Free
 	s.control.Must(func(now time.Time) {
 		if ended {
-			s.foundEnded(now, c.Instance, balance.Dead)
+			s.recordUpstreamEnd(now, c.Instance, balance.Dead)
 			s.table.FoundGone(now, c.Instance)
 		}
 		v = s.suspects.Check(now, lost.Print)
@@ -105,9 +107,9 @@
 	return v
 }
 
-// foundEnded notes that a start of an upstream has ended, and under which requests of
-// this gateway. It runs in the control goroutine.
-func (s *Server) foundEnded(now time.Time, in balance.Instance, o balance.Outcome) {
+// recordUpstreamEnd records that an instance of an upstream has ended, and which requests
+// of this gateway it was running. It runs in the control goroutine.
+func (s *Server) recordUpstreamEnd(now time.Time, in balance.Instance, o balance.Outcome) {
 	if !s.table.IsGone(now, in) {
 		s.metrics.ends.Inc()
 		s.log.Warn().Str("upstream", in.ID).Str("address", in.Address).Str("zone", in.Zone).Str("pool", in.Pool).
@@ -115,7 +117,7 @@
 	}
 	start := in.Start()
 	s.lost = slices.DeleteFunc(s.lost, func(l suspects.Lost) bool {
-		old := now.Sub(l.At) > lostFor
+		old := now.Sub(l.At) > lostRetention
 		if l.Start == start && !old {
 			s.suspects.EndedUnder(l)
 		}
--- a/internal/edge/gatewayd/suspend_test.go
+++ b/internal/edge/gatewayd/suspend_test.go
@@ -12,12 +12,12 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// A host was suspended for seconds: the steady clock stood still, and what the gateway
-// believed looked as young as before. It honoured keys that may have been taken away
-// meanwhile.
+// While a host is suspended for seconds, its monotonic clock stops, and the view of the
+// gateway looks as recent as before. The gateway accepted keys that may have been revoked
+// in the meantime.
 func TestKeysAfterASuspension(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, fine)
+	w := newTestEnv(t, 1, replyOK)
 	is.Equal(w.call("/read/1").Status, http.StatusOK)
 	w.store.SetTrouble(standin.Silent)
 	w.suspend(10 * time.Second)
@@ -27,11 +27,11 @@
 	w.await(func() bool { return w.call("/read/1").Status == http.StatusOK })
 }
 
-// A request whose time ran out while the host was suspended is answered at once, and
-// nothing of it is sent.
+// A request that expires while the host is suspended is answered at once, and no part of
+// it is sent.
 func TestRequestAfterASuspension(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1, fine)
+	w := newTestEnv(t, 1, replyOK)
 	conn := w.beginBody("/write/1", 4, "ab")
 	w.await(func() bool { return w.server.inFlight.Load() == 1 })
 	w.suspend(3 * time.Second)
--- a/internal/edge/gatewayd/world_test.go
+++ b/internal/edge/gatewayd/testenv_test.go
@@ -20,11 +20,11 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// patienceOfTests bounds every wait of a test.
-const patienceOfTests = 10 * time.Second
+// testTimeout bounds every wait of a test.
+const testTimeout = 10 * time.Second
 
-// world is one gateway, the store, and replicas that share a script.
-type world struct {
+// testEnv is one gateway, the store, and replicas that share a script.
+type testEnv struct {
 	t        *testing.T
 	is       *is.I
 	store    *standin.Store
@@ -43,13 +43,13 @@
 	calls int
 }
 
-// logBuffer keeps what the gateway logs.
+// logBuffer collects the log of the gateway.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-// Write takes a line.
+// Write appends a line.
 func (b *logBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -62,7 +62,7 @@
 	return b.text.String()
 }
 
-// routes of every test, by kind.
+// routes are the routes of every test, by kind.
 var routes = []standin.Route{
 	{Name: "read", Host: "x.example", Prefix: "/read/", Kind: "idempotent", Pool: "app", TimeoutMs: 2000, TargetMs: 1000, Attempts: 2},
 	{Name: "write", Host: "x.example", Prefix: "/write/", Kind: "non_idempotent", Pool: "app", TimeoutMs: 2000, TargetMs: 1000, Attempts: 2},
@@ -75,7 +75,7 @@
 	return standin.Config{Version: version, Routes: routes, Keys: map[string][]string{"org-a": {"key-a", "key-b"}}}
 }
 
-func boundsOfTests() platform.Bounds {
+func testBounds() platform.Bounds {
 	return platform.Bounds{
 		StrictRevocation: true,
 		RevokeWithin:     5 * time.Second,
@@ -86,11 +86,11 @@
 	}
 }
 
-// newWorld starts a gateway and n replicas. The script gets the number of
-// requests that any replica got before.
-func newWorld(t *testing.T, n int, script func(n int, r standin.Request) standin.Reply) *world {
+// newTestEnv starts a gateway and n replicas. The script receives the number of requests
+// that all replicas have received before.
+func newTestEnv(t *testing.T, n int, script func(n int, r standin.Request) standin.Reply) *testEnv {
 	t.Helper()
-	w := &world{t: t, is: is.New(t), store: standin.NewStore(t)}
+	w := &testEnv{t: t, is: is.New(t), store: standin.NewStore(t)}
 	w.store.PutConfig(configuration(1))
 	for i := range n {
 		r := standin.NewReplica(t, "i-"+string(rune('a'+i)), func(_ int, r standin.Request) standin.Reply {
@@ -103,12 +103,12 @@
 		w.replicas = append(w.replicas, r)
 		w.store.PutReplica(r, "app", false)
 	}
-	w.start(boundsOfTests())
+	w.start(testBounds())
 	w.await(func() bool { return w.upstreams() == n && w.readiness() == 200 })
 	return w
 }
 
-func (w *world) start(b platform.Bounds) {
+func (w *testEnv) start(b platform.Bounds) {
 	w.t.Helper()
 	w.server = New(&Options{
 		Settings: platform.Settings{
@@ -116,7 +116,7 @@
 			Callers: "127.0.0.1:0", Readiness: "127.0.0.1:0",
 			Store: w.store.Address(), Bounds: b,
 		},
-		Stop:  StopTimes{LastCallAfter: time.Hour},
+		Stop:  StopTimes{RejectAfter: time.Hour},
 		Clock: w.now,
 		Log:   zerolog.New(&w.logs),
 	})
@@ -132,51 +132,51 @@
 	w.caller = standin.NewCaller(w.t, w.server.CallersAddress())
 }
 
-// now is the time of a clock that goes on while the host is suspended; timers do not.
-func (w *world) now() time.Time { return time.Now().Add(time.Duration(w.suspended.Load())) }
+// now returns the time of a clock that keeps running while the host is suspended; timers
+// do not.
+func (w *testEnv) now() time.Time { return time.Now().Add(time.Duration(w.suspended.Load())) }
 
-// suspend lets the host of the gateway stand still for the time.
-func (w *world) suspend(d time.Duration) { w.suspended.Add(int64(d)) }
+// suspend simulates a suspension of the gateway's host.
+func (w *testEnv) suspend(d time.Duration) { w.suspended.Add(int64(d)) }
 
-// upstreams is the number that the gateway may use.
-func (w *world) upstreams() int {
+// upstreams returns the number of upstreams that the gateway may use.
+func (w *testEnv) upstreams() int {
 	n := 0
 	w.server.control.Must(func(time.Time) { n = w.server.table.Size("app") })
 	return n
 }
 
 // await waits for a condition.
-func (w *world) await(done func() bool) {
+func (w *testEnv) await(done func() bool) {
 	w.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patienceOfTests)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if err := program.WaitUntil(ctx, done); err != nil {
-		w.t.Fatal("the condition did not come true")
+		w.t.Fatal("the condition was not met in time")
 	}
 }
 
-func (w *world) call(uri string) standin.Answer {
+func (w *testEnv) call(uri string) standin.Answer {
 	w.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patienceOfTests)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	return w.caller.Call(ctx, standin.Request{ID: "r-1", Host: "x.example", URI: uri, Key: "key-a", Body: "hello", DeadlineMs: 1500})
 }
 
-// beginBody sends the head of a request on a connection of its own, and the beginning of
-// its body.
-func (w *world) beginBody(uri string, length int, beginning string) net.Conn {
+// beginBody sends the head of a request and the beginning of its body on a new connection.
+func (w *testEnv) beginBody(uri string, length int, beginning string) net.Conn {
 	w.t.Helper()
 	conn, err := net.Dial("tcp", w.server.CallersAddress())
 	w.is.NoErr(err)
 	w.t.Cleanup(func() { _ = conn.Close() })
-	w.is.NoErr(conn.SetDeadline(time.Now().Add(patienceOfTests)))
+	w.is.NoErr(conn.SetDeadline(time.Now().Add(testTimeout)))
 	_, err = io.WriteString(conn, standin.RawHead(uri, "x.example", "key-a", length)+beginning)
 	w.is.NoErr(err)
 	return conn
 }
 
-// ran returns what all replicas ran.
-func (w *world) ran() []standin.Request {
+// ran returns the requests that all replicas ran.
+func (w *testEnv) ran() []standin.Request {
 	var all []standin.Request
 	for _, r := range w.replicas {
 		all = append(all, r.Ran()...)
@@ -184,7 +184,7 @@
 	return all
 }
 
-func (w *world) readiness() int {
+func (w *testEnv) readiness() int {
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+w.server.ReadinessAddress()+platform.ReadyPath, nil)
 	w.is.NoErr(err)
 	resp, err := http.DefaultClient.Do(req)
--- a/internal/edge/gatewayd/turn_test.go
+++ b/internal/edge/gatewayd/turn_test.go
@@ -12,10 +12,10 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// A gateway whose call failed, and that knows others, asks the store again before the time
-// for which it leaves it to them is over, if what it knows is too old.
-func TestStoreIsNotLeftToOthersForTooLong(t *testing.T) {
-	w := newWorld(t, 1, nil)
+// After a failed call a gateway that knows others avoids the store. It queries the store
+// again before that time is over if its view is too old.
+func TestStoreAvoidanceIsBounded(t *testing.T) {
+	w := newTestEnv(t, 1, nil)
 	w.store.SetTrouble(standin.Silent)
 	f := &follower{server: w.server, reader: reader.New(w.now()), position: feed.Position{Revision: 1}}
 	w.server.control.Must(func(now time.Time) {
@@ -30,15 +30,15 @@
 		f.reader.StoreFailed(now, 0)
 	})
 	w.is.True(f.next().Kind != reader.Watch)
-	w.suspend(boundsOfTests().ConfigWithin)
+	w.suspend(testBounds().ConfigWithin)
 	w.is.Equal(f.next().Kind, reader.Watch)
 }
 
-// A configuration that cannot be read proves nothing for as long as it stands. The gateways
-// go on to watch the store for the next one, one of them for all, and do not ask again at
-// once after each answer.
-func TestCallsWhileAConfigurationCannotBeRead(t *testing.T) {
-	w := &world{t: t, is: is.New(t), store: standin.NewStore(t)}
+// A configuration that cannot be decoded proves nothing as long as it is the newest. The
+// gateways keep watching the store for the next one, one of them for all, and do not query
+// it again right after each answer.
+func TestCallsDuringUnreadableConfiguration(t *testing.T) {
+	w := &testEnv{t: t, is: is.New(t), store: standin.NewStore(t)}
 	w.store.PutConfig(configuration(1))
 	first := startPeer(t, w.store)
 	all := []*testPeer{first, startPeer(t, w.store, first.PeersAddress()), startPeer(t, w.store, first.PeersAddress())}
@@ -46,7 +46,7 @@
 		n := 0
 		for _, g := range all {
 			g.control.Must(func(time.Time) {
-				if g.configUnread && g.view.Load().Table != nil {
+				if g.configUnreadable && g.view.Load().Table != nil {
 					n++
 				}
 			})
@@ -64,7 +64,7 @@
 	w.await(func() bool { return time.Now().After(end) })
 	calls := w.store.Calls() - before
 	t.Logf("%d calls", calls)
-	w.is.True(calls <= 8) // a watch takes half of that time or more
+	w.is.True(calls <= 8) // a watch takes at least half of that time
 	w.store.PutConfig(configuration(2))
 	w.await(func() bool { return all[0].version() == 2 && all[1].version() == 2 && all[2].version() == 2 })
 }
--- a/internal/edge/gatewayd/unfit_test.go
+++ b/internal/edge/gatewayd/unfit_test.go
@@ -10,10 +10,10 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// An entry of another writer took the place of an upstream's own. The gateway went on
-// by the entry before, and sent requests to what nobody names any more.
+// Another writer's entry replaces that of an upstream. The gateway kept using the previous
+// entry, and sent requests to an upstream that was no longer listed.
 func TestOverwrittenEntry(t *testing.T) {
-	w := newWorld(t, 2, fine)
+	w := newTestEnv(t, 2, replyOK)
 	for range 3 {
 		w.store.PutForeign("i-a")
 		w.await(func() bool { return w.upstreams() == 1 })
@@ -24,18 +24,18 @@
 	w.is.Equal(len(w.replicas[0].Ran()), 0)
 }
 
-// Thousands of entries of another writer hide no other, and cost a bounded number of log
-// lines and no memory.
-func TestManyUnfitEntries(t *testing.T) {
-	w := newWorld(t, 1, fine)
+// Thousands of entries of another writer hide no other entry, and cost a bounded number of
+// log lines and no memory.
+func TestManyInvalidEntries(t *testing.T) {
+	w := newTestEnv(t, 1, replyOK)
 	const many = 3000
 	for i := range many {
 		w.store.PutForeign(fmt.Sprintf("x-%d", i))
 	}
-	r := standin.NewReplica(t, "i-z", fine)
+	r := standin.NewReplica(t, "i-z", replyOK)
 	w.store.PutReplica(r, "app", false)
 	w.await(func() bool { return w.upstreams() == 2 })
-	w.is.True(strings.Count(w.logs.String(), "value is faulty") < many/10)
+	w.is.True(strings.Count(w.logs.String(), "value is invalid") < many/10)
 	batch, _ := w.server.feed.Since(feed.Position{})
 	w.is.True(len(batch.Entries) < many/10)
 }
