--- a/internal/edge/gatewayd/limit_test.go
+++ b/internal/edge/gatewayd/limit_test.go
@@ -201,16 +201,16 @@
 		w.server.publishClosed(now)
 	})
 	is.Equal(w.call("/write/1").Status, 503)
-	tell := func() {
+	reportFree := func() {
 		w.server.control.Must(func(now time.Time) { free(now, w.server.roster.Current(now)[0].Start()) })
 	}
 	for range 4 {
 		w.suspend(2 * time.Second)
-		tell()
+		reportFree()
 	}
 	// After that time the configuration must first be proved anew.
 	w.await(func() bool {
-		tell()
+		reportFree()
 		return w.call("/write/1").Status == 200
 	})
 	is.True(!strings.Contains(w.logs.String(), `"failure":"withheld"`))
--- a/internal/edge/gatewayd/loads_test.go
+++ b/internal/edge/gatewayd/loads_test.go
@@ -81,9 +81,9 @@
 	// Two reports may overtake each other: the load in one, the part in the other. A relay
 	// passes on what was reported to it, also to a gateway it does not know.
 	w.await(func() bool {
-		told := 0
-		peers[2].control.Must(func(time.Time) { told = len(peers[2].partLog.For("nobody")) })
-		return told > 0
+		known := 0
+		peers[2].control.Must(func(time.Time) { known = len(peers[2].partLog.For("nobody")) })
+		return known > 0
 	})
 	next := pickOn(peers[2], 200)
 	w.is.Equal(next.ID, c.ID) // the shared part is being read there
@@ -108,7 +108,7 @@
 	is := is.New(t)
 	w, peers := newLoadsEnv(t)
 	p := peers[2]
-	told := func(n uint32) {
+	report := func(n uint32) {
 		_, err := p.TellLoads(context.Background(), connect.NewRequest(&gladegaugev1.TellLoadsRequest{
 			Gateway: "10.9.9.9:1",
 			Loads:   []*gladegaugev1.UpstreamLoad{{Upstream: 42, Requests: n}},
@@ -116,7 +116,7 @@
 		is.NoErr(err)
 	}
 	for _, n := range []uint32{3, 3, 9, 3} {
-		told(n)
+		report(n)
 	}
 	var sum occupancy.Loads
 	p.control.Must(func(now time.Time) { sum = p.occupancy.Zone(now) })
--- a/internal/edge/gatewayd/peers_test.go
+++ b/internal/edge/gatewayd/peers_test.go
@@ -330,8 +330,8 @@
 	restart := func(seed string) *testPeer {
 		return startPeerWith(t, store, "a", false, seed)
 	}
-	told := restart(seed.PeersAddress())
-	w.await(func() bool { return told.version() == 1 })
+	seeded := restart(seed.PeersAddress())
+	w.await(func() bool { return seeded.version() == 1 })
 	w.is.Equal(store.Lists(), listed)
 	alone := restart(closedAddress(t).String())
 	w.await(func() bool { return alone.version() == 1 })
