--- a/internal/edge/spread/fleet_test.go
+++ b/internal/edge/spread/fleet_test.go
@@ -27,28 +27,28 @@
 	"github.com/gladegauge/gladegauge/internal/standin/published"
 )
 
-// fabric carries HTTP calls between processes in memory, in virtual time.
-type fabric struct {
+// network carries HTTP calls between processes in memory and in virtual time.
+type network struct {
 	mu       sync.Mutex
 	handlers map[string]http.Handler
 	// cut reports whether a call from one process to an address is lost.
 	cut func(from, to string) bool
 }
 
-// port is one process's way into the fabric.
-type port struct {
-	f    *fabric
+// transport is the network as seen from one process.
+type transport struct {
+	f    *network
 	from string
 }
 
 const oneWay = 2 * time.Millisecond
 
-func (p port) RoundTrip(r *http.Request) (*http.Response, error) {
+func (p transport) RoundTrip(r *http.Request) (*http.Response, error) {
 	p.f.mu.Lock()
 	h, ok := p.f.handlers[r.URL.Host]
 	lost := !ok || (p.f.cut != nil && p.f.cut(p.from, r.URL.Host))
 	p.f.mu.Unlock()
-	time.Sleep(oneWay) // Virtual.
+	time.Sleep(oneWay) // virtual time
 	if lost {
 		<-r.Context().Done()
 		return nil, r.Context().Err()
@@ -62,7 +62,7 @@
 	return w.Result(), nil
 }
 
-func (f *fabric) setCut(cut func(from, to string) bool) {
+func (f *network) setCut(cut func(from, to string) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cut = cut
@@ -79,11 +79,11 @@
 	log      bytes.Buffer
 }
 
-// fleet is a number of processes with one platform.
+// fleet is a set of processes with one platform.
 type fleet struct {
 	t         *testing.T
 	platform  *published.Service
-	fabric    *fabric
+	network   *network
 	processes []*process
 	zones     []string
 	doc       *gladegaugev1.Configuration
@@ -94,7 +94,7 @@
 
 func newFleet(t *testing.T, perZone int, zones ...string) *fleet {
 	f := &fleet{t: t, platform: published.New(), zones: zones}
-	f.fabric = &fabric{handlers: map[string]http.Handler{platformHost: f.platform}}
+	f.network = &network{handlers: map[string]http.Handler{platformHost: f.platform}}
 	f.doc = &gladegaugev1.Configuration{
 		Revision:      1,
 		Classes:       []*gladegaugev1.Class{{Name: "ruling", Tier: 1, FirstTokenMs: 1000}},
@@ -111,7 +111,7 @@
 	return f
 }
 
-// publish publishes the document as it is.
+// publish publishes the current document.
 func (f *fleet) publish() {
 	doc := config.Split(f.doc, f.doc.GetRevision()-1)
 	for _, ref := range doc.Manifest.GetShards() {
@@ -147,14 +147,14 @@
 	f.platform.Put(platform.ZonesName, []byte(all))
 }
 
-// address gives each process an IP number of its own.
+// address returns the process's address; each process has its own IP address.
 func (f *fleet) address(id string) string {
 	i := slices.IndexFunc(f.processes, func(n *process) bool { return n.id == id })
 	return fmt.Sprintf("10.0.0.%d:1", i+1)
 }
 
 func (f *fleet) start(n *process, seeds ...string) {
-	client := &http.Client{Transport: port{f: f.fabric, from: n.id}}
+	client := &http.Client{Transport: transport{f: f.network, from: n.id}}
 	l := loop.New(time.Now)
 	m := metrics.New(prometheus.NewRegistry())
 	n.metrics = m
@@ -168,9 +168,9 @@
 	mux := http.NewServeMux()
 	path, h := gladegaugev1connect.NewPeerServiceHandler(n.sync)
 	mux.Handle(path, h)
-	f.fabric.mu.Lock()
-	f.fabric.handlers[f.address(n.id)] = mux
-	f.fabric.mu.Unlock()
+	f.network.mu.Lock()
+	f.network.handlers[f.address(n.id)] = mux
+	f.network.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
 	n.group, ctx = errgroup.WithContext(ctx)
@@ -191,9 +191,9 @@
 }
 
 func (f *fleet) stop(n *process) {
-	f.fabric.mu.Lock()
-	delete(f.fabric.handlers, f.address(n.id))
-	f.fabric.mu.Unlock()
+	f.network.mu.Lock()
+	delete(f.network.handlers, f.address(n.id))
+	f.network.mu.Unlock()
 	n.cancel()
 	_ = n.group.Wait()
 }
@@ -212,8 +212,8 @@
 	return ready
 }
 
-// holds returns the digest in force and the conflicts seen.
-func (n *process) holds() (digest string, conflicts int) {
+// digestAndConflicts returns the digest in force and the number of conflicts seen.
+func (n *process) digestAndConflicts() (digest string, conflicts int) {
 	n.sync.o.Loop.Must(func(time.Time) {
 		digest, conflicts = n.sync.holder.Config().Digest(), n.sync.holder.Conflicts()
 	})
@@ -227,15 +227,15 @@
 	return watches
 }
 
-// logged returns the log, read between two steps of the control loop.
-func (n *process) logged() string {
+// logText returns the log output, read in the control loop.
+func (n *process) logText() string {
 	text := ""
 	n.sync.o.Loop.Must(func(time.Time) { text = n.log.String() })
 	return text
 }
 
-// counted returns the value of a counter without labels.
-func (n *process) counted(name string) float64 {
+// counterValue returns the value of a counter without labels.
+func (n *process) counterValue(name string) float64 {
 	families, _ := n.metrics.Registry.Gather()
 	for _, family := range families {
 		if family.GetName() == name {
--- a/internal/edge/spread/peers.go
+++ b/internal/edge/spread/peers.go
@@ -14,7 +14,7 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// addresses returns where the process's peers are; the seeds if none is known.
+// addresses returns the addresses of the process's peers, or the seeds if no peer is known.
 func (s *Sync) addresses(ctx context.Context) []string {
 	var addresses []string
 	_ = s.o.Loop.Do(ctx, func(time.Time) {
@@ -28,24 +28,24 @@
 	return addresses
 }
 
-// exchangeLoop asks one peer after the other.
+// exchangeLoop polls the peers in turn.
 func (s *Sync) exchangeLoop(ctx context.Context) error {
 	for loop.Pause(ctx, core.ExchangeEvery/2+jitter(core.ExchangeEvery)) {
 		addresses := s.addresses(ctx)
 		if len(addresses) == 0 {
 			continue
 		}
-		s.turn++
-		s.exchange(ctx, addresses[s.turn%len(addresses)])
+		s.peerIndex++
+		s.exchange(ctx, addresses[s.peerIndex%len(addresses)])
 	}
 	return nil
 }
 
-// noticeLoop tells all peers at once when something is new.
-func (s *Sync) noticeLoop(ctx context.Context) error {
+// notifyLoop exchanges with all peers at once when something changed.
+func (s *Sync) notifyLoop(ctx context.Context) error {
 	for {
 		select {
-		case <-s.notices:
+		case <-s.notifications:
 		case <-ctx.Done():
 			return nil
 		}
@@ -60,18 +60,19 @@
 	}
 }
 
-// exchange tells a peer the versions in force and fetches what it has newer.
+// exchange sends a peer the versions in force and fetches whatever is newer there. It
+// reports whether the peer responded.
 func (s *Sync) exchange(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req := &gladegaugev1.ExchangeRequest{From: s.o.Self.ID}
 	var asked time.Time
-	tell := func(now time.Time) {
+	prepare := func(now time.Time) {
 		asked = now
 		req.State = s.state(now)
 		req.Suspects = s.suspects.Tell(now, address, false)
 	}
-	if s.o.Loop.Do(ctx, tell) != nil {
+	if s.o.Loop.Do(ctx, prepare) != nil {
 		return false
 	}
 	resp, err := s.peer(address).Exchange(ctx, connect.NewRequest(req))
@@ -85,8 +86,8 @@
 		want.Manifest = s.newer(resp.Msg.GetState().GetVersion(), address)
 		want.Zones = s.newerZones(resp.Msg.GetState())
 		if !want.GetManifest() && len(want.GetZones()) == 0 {
-			s.fresh.Confirmed(now)
-			s.takeProof(asked, resp.Msg.GetState())
+			s.freshness.Confirmed(now)
+			s.recordProof(asked, resp.Msg.GetState())
 			want = nil
 		}
 	})
@@ -104,7 +105,7 @@
 	s.o.Metrics.PeerCalls.WithLabelValues(kind, result).Inc()
 }
 
-// pullLoop asks and fetches from processes that were heard to be ahead.
+// pullLoop exchanges with processes that reported a newer version.
 func (s *Sync) pullLoop(ctx context.Context) error {
 	for {
 		select {
@@ -116,7 +117,7 @@
 	}
 }
 
-// fetchFrom fetches what the peer has newer.
+// fetchFrom fetches the wanted documents from a peer and applies them.
 func (s *Sync) fetchFrom(ctx context.Context, address string, want *gladegaugev1.FetchRequest) bool {
 	resp, err := s.peer(address).Fetch(ctx, connect.NewRequest(want))
 	s.countPeer("fetch", err)
@@ -128,9 +129,9 @@
 	wanted := false
 	err = s.o.Loop.Do(ctx, func(now time.Time) {
 		for _, list := range resp.Msg.GetLists() {
-			s.takeList(now, list)
+			s.applyList(now, list)
 		}
-		if manifest != nil && s.consider(manifest, address) == revision.Newer {
+		if manifest != nil && s.checkManifest(manifest, address) == revision.Newer {
 			wanted = true
 			missing = s.holder.Missing(manifest)
 		}
@@ -141,7 +142,7 @@
 	if wanted && !s.fetchShards(ctx, address, manifest, missing) {
 		return false
 	}
-	return s.o.Loop.Do(ctx, func(now time.Time) { s.fresh.Confirmed(now) }) == nil
+	return s.o.Loop.Do(ctx, func(now time.Time) { s.freshness.Confirmed(now) }) == nil
 }
 
 func (s *Sync) fetchShards(ctx context.Context, address string, m *gladegaugev1.Manifest, names []string) bool {
--- a/internal/edge/spread/platform.go
+++ b/internal/edge/spread/platform.go
@@ -16,18 +16,18 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// firstPeers is the number of peers that a starting process tries to ask.
-const firstPeers = 3
+// bootstrapPeers is the maximum number of peers that a starting process tries.
+const bootstrapPeers = 3
 
-// bootstrap asks the platform and a peer once, so that the process starts with
-// the newest of both. The peer goes first: from the platform then only what is
-// newer is read, which matters when many processes start at once.
+// bootstrap reads from a peer and from the platform once, so that the process starts with
+// the newest state of both. The peer goes first: only what is newer is then read from the
+// platform, which matters when many processes start at once.
 func (s *Sync) bootstrap(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	s.readHosts(callCtx, func(string) bool { return true })
 	addresses := s.addresses(ctx)
-	for _, address := range addresses[:min(firstPeers, len(addresses))] {
+	for _, address := range addresses[:min(bootstrapPeers, len(addresses))] {
 		if s.exchange(ctx, address) {
 			break
 		}
@@ -49,8 +49,8 @@
 	s.readHosts(ctx, func(string) bool { return true })
 }
 
-// readHosts reads the host lists of the zones that are wanted. It reports
-// whether every zone that the platform names has a list now.
+// readHosts reads the host lists of the wanted zones. It reports whether all of them could
+// be read.
 func (s *Sync) readHosts(ctx context.Context, wanted func(zone string) bool) bool {
 	v, err := s.o.Platform.Read(ctx, platform.ZonesName)
 	if err != nil {
@@ -71,8 +71,8 @@
 	return complete
 }
 
-// zonesLoop reads, while the process is a watcher, the lists of zones from
-// which it knows nobody yet; the others come from peers there.
+// zonesLoop reads, while the process is a watcher, the lists of zones in which it knows no
+// host yet. The lists of other zones come from peers there.
 func (s *Sync) zonesLoop(ctx context.Context) error {
 	wait := retryPause
 	for loop.Pause(ctx, wait/2+jitter(wait)) {
@@ -96,36 +96,37 @@
 	return unknown
 }
 
-// never is for a value that only watchers watch.
+// never is the direct condition of a value that only watchers watch.
 func never(context.Context) bool { return false }
 
-// isAlone reports whether the process watches the platform though it is no watcher.
-func (s *Sync) isAlone(ctx context.Context) bool {
-	alone := false
+// watchesDirectly reports whether the process watches the platform although it is no
+// watcher.
+func (s *Sync) watchesDirectly(ctx context.Context) bool {
+	direct := false
 	_ = s.o.Loop.Do(ctx, func(now time.Time) {
-		age, _ := s.fresh.ProofAge(now)
-		alone = s.fresh.WatchesDirectly(now)
-		if alone != s.alone {
-			s.alone = alone
-			s.o.Log.Info().Bool("alone", alone).Dur("proof_age", age).Msg("watch of the platform by a process that is no watcher")
+		age, _ := s.freshness.ProofAge(now)
+		direct = s.freshness.WatchesDirectly(now)
+		if direct != s.direct {
+			s.direct = direct
+			s.o.Log.Info().Bool("alone", direct).Dur("proof_age", age).Msg("direct watch of the platform by a non-watcher changed")
 		}
 	})
-	return alone
+	return direct
 }
 
-// watchLoop watches a value while the process is a watcher, or watches alone.
-func (s *Sync) watchLoop(ctx context.Context, alone func(ctx context.Context) bool, watch func(ctx context.Context, after uint64) (uint64, error)) error {
+// watchLoop watches a value while the process is a watcher, or while direct returns true.
+func (s *Sync) watchLoop(ctx context.Context, direct func(ctx context.Context) bool, watch func(ctx context.Context, after uint64) (uint64, error)) error {
 	var after uint64
 	for ctx.Err() == nil {
 		pause := retryPause
 		if !s.isWatcher(ctx) {
-			if !alone(ctx) {
-				if !s.waitForChange(ctx) {
+			if !direct(ctx) {
+				if !s.waitForWatchChange(ctx) {
 					return nil
 				}
 				continue
 			}
-			pause = alonePause
+			pause = directWatchPause
 		}
 		callCtx, cancel := context.WithTimeout(ctx, watchWait+callTimeout)
 		next, err := watch(callCtx, after)
@@ -135,7 +136,7 @@
 			after = next
 		case errors.Is(err, platform.ErrUnchanged):
 		default:
-			// A platform that starts anew may count its versions from the start.
+			// A restarted platform may count its versions from the beginning again.
 			after = 0
 			loop.Pause(ctx, pause/2+jitter(pause))
 		}
@@ -146,18 +147,19 @@
 func (s *Sync) isWatcher(ctx context.Context) bool {
 	watches := false
 	_ = s.o.Loop.Do(ctx, func(time.Time) {
-		s.recheckWatch()
+		s.updateWatching()
 		watches = s.watching
 	})
 	return watches
 }
 
-// waitForChange waits until the process may have become a watcher.
-func (s *Sync) waitForChange(ctx context.Context) bool {
+// waitForWatchChange waits until the process may have become a watcher. It returns false if
+// the context has ended.
+func (s *Sync) waitForWatchChange(ctx context.Context) bool {
 	t := time.NewTimer(retryPause)
 	defer t.Stop()
 	select {
-	case <-s.rewatch:
+	case <-s.watchChanged:
 		return true
 	case <-t.C:
 		return true
@@ -173,7 +175,7 @@
 		return after, err
 	}
 	if !s.learnManifest(ctx, v) {
-		return after, errors.Newf("manifest version %d was not taken", v.Version)
+		return after, errors.Newf("manifest version %d was not applied", v.Version)
 	}
 	return v.Version, nil
 }
@@ -184,11 +186,11 @@
 	}
 }
 
-// confirmed notes that the platform said that the version in force is the newest. It runs
+// confirmed records that the platform confirmed the version in force as the newest. It runs
 // in the control loop.
 func (s *Sync) confirmed(now time.Time) {
-	s.fresh.Confirmed(now)
-	s.fresh.Proved(now)
+	s.freshness.Confirmed(now)
+	s.freshness.Proved(now)
 }
 
 func (s *Sync) watchHosts(ctx context.Context, after uint64) (uint64, error) {
@@ -207,11 +209,11 @@
 		return
 	}
 	list.Version = v.Version
-	_ = s.o.Loop.Do(ctx, func(now time.Time) { s.takeList(now, list) })
+	_ = s.o.Loop.Do(ctx, func(now time.Time) { s.applyList(now, list) })
 }
 
-// learnManifest takes a published manifest into force, or the last good one
-// before it. It reports false if it should be read again.
+// learnManifest applies a published manifest, or the last valid one before it. It returns
+// false if the manifest must be read again.
 func (s *Sync) learnManifest(ctx context.Context, v platform.Value) bool {
 	m := &gladegaugev1.Manifest{}
 	if err := proto.Unmarshal(v.Data, m); err != nil {
@@ -231,11 +233,11 @@
 	return true
 }
 
-// maxParents bounds how many bad revisions are passed over.
+// maxParents is the maximum number of invalid revisions that are skipped.
 const maxParents = 8
 
-// fallBack looks for the last good revision before a bad one, if the process
-// has none in force.
+// fallBack applies the last valid revision before an invalid one, if the process has no
+// configuration in force.
 func (s *Sync) fallBack(ctx context.Context, bad *gladegaugev1.Manifest) {
 	for range maxParents {
 		inForce := false
@@ -258,12 +260,13 @@
 	}
 }
 
-// fetchPublished reads the shards that a manifest names and the process lacks.
+// fetchPublished reads the shards of a manifest that the process lacks, and applies the
+// document.
 func (s *Sync) fetchPublished(ctx context.Context, m *gladegaugev1.Manifest) (revision.Verdict, error) {
 	var verdict revision.Verdict
 	var missing []string
 	err := s.o.Loop.Do(ctx, func(time.Time) {
-		verdict = s.consider(m, platformName)
+		verdict = s.checkManifest(m, platformName)
 		missing = s.holder.Missing(m)
 	})
 	if err != nil || verdict != revision.Newer {
@@ -284,12 +287,13 @@
 	return verdict, err
 }
 
-// directLoop reads the platform directly when nobody has answered for long.
+// directLoop reads everything from the platform while the process has had no response from
+// a peer or the platform for long, or has no configuration.
 func (s *Sync) directLoop(ctx context.Context) error {
 	for loop.Pause(ctx, directBase+jitter(directJitter)) {
 		silent := false
 		_ = s.o.Loop.Do(ctx, func(now time.Time) {
-			silent = s.fresh.Silent(now) || s.holder.Config() == nil
+			silent = s.freshness.Silent(now) || s.holder.Config() == nil
 		})
 		if silent {
 			callCtx, cancel := context.WithTimeout(ctx, callTimeout)
--- a/internal/edge/spread/suspects.go
+++ b/internal/edge/spread/suspects.go
@@ -7,21 +7,21 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// Suspects returns what is known of requests under which upstreams end. But for its
-// Any, it belongs to the control loop.
+// Suspects returns the registry of requests that crash upstreams. Except for its method
+// Any, it must be used in the control loop only.
 func (s *Sync) Suspects() *suspects.Book { return s.suspects }
 
-// EndedUnder notes that an upstream ended under the request, and tells the peers at
-// once. It runs in the control loop.
+// EndedUnder records that an upstream crashed while running the request, and notifies the
+// peers at once. It runs in the control loop.
 func (s *Sync) EndedUnder(l suspects.Lost) {
 	s.suspects.EndedUnder(l)
-	s.notice()
+	s.notifyPeers()
 }
 
-// hearSuspects takes the words of another process, and passes news on at once. It runs
-// in the control loop.
+// hearSuspects processes the observations of another process, and notifies the peers at
+// once if they were new. It runs in the control loop.
 func (s *Sync) hearSuspects(now time.Time, from string, msg *gladegaugev1.SuspectWords) {
 	if s.suspects.Hear(now, from, msg, 0) {
-		s.notice()
+		s.notifyPeers()
 	}
 }
--- a/internal/edge/spread/sync.go
+++ b/internal/edge/spread/sync.go
@@ -1,9 +1,8 @@
 // Package spread keeps a process's configuration and host lists up to date.
 //
-// It carries out what the core package of the same name decides: it watches
-// the platform when the process is one of its zone's watchers, exchanges
-// versions with its peers, and fetches what is newer. State lives in the
-// process's control loop.
+// It performs the I/O for the core package of the same name: it watches the platform if
+// the process is one of its zone's watchers, exchanges versions with its peers, and
+// fetches what is newer. Its state belongs to the process's control loop.
 //
 // # Usage
 //
@@ -37,7 +36,7 @@
 	"github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1/gladegaugev1connect"
 )
 
-// Times of the exchange.
+// Timeouts, intervals and limits of synchronization.
 const (
 	callTimeout  = 2 * time.Second
 	watchWait    = 20 * time.Second
@@ -45,20 +44,20 @@
 	pullBacklog  = 16
 	directBase   = 20 * time.Second
 	directJitter = 20 * time.Second
-	// alonePause is the pause after a watch that failed of a process that is no watcher.
-	alonePause = 10 * time.Second
-	zonesEvery = 30 * time.Second
+	// directWatchPause is the pause after a failed watch of a process that is no watcher.
+	directWatchPause = 10 * time.Second
+	zonesEvery       = 30 * time.Second
 )
 
-// Options are what a Sync needs.
+// Options are the settings and dependencies of a Sync.
 type Options struct {
 	Self     member.Host
 	Loop     *loop.Loop
 	Platform *platform.Client
-	// HTTP and URL reach other processes.
+	// HTTP and URL are used to call other processes.
 	HTTP *http.Client
 	URL  func(address string) string
-	// Seeds are addresses to ask while no host list is known.
+	// Seeds are the addresses to call while no host list is known.
 	Seeds   []string
 	Metrics *metrics.Metrics
 	Log     zerolog.Logger
@@ -67,61 +66,62 @@
 	OnMembers func(now time.Time, set *member.Set)
 }
 
-// Sync spreads configuration and host lists.
+// Sync synchronizes the configuration and the host lists with the platform and the peers.
 type Sync struct {
-	o        Options
-	holder   *revision.Holder
-	set      *member.Set
-	fresh    core.Freshness
-	suspects *suspects.Book
-	pulls    chan string
-	notices  chan struct{}
-	rewatch  chan struct{}
-	turn     int
-	watching bool
-	// alone is true while it watches the platform though it is no watcher.
-	alone bool
-	// conflicting is the revision whose conflict was logged last.
-	conflicting uint64
+	o             Options
+	holder        *revision.Holder
+	set           *member.Set
+	freshness     core.Freshness
+	suspects      *suspects.Book
+	pulls         chan string
+	notifications chan struct{}
+	watchChanged  chan struct{}
+	peerIndex     int
+	watching      bool
+	// direct is true while the process watches the platform although it is no watcher.
+	direct bool
+	// loggedConflict is the revision whose conflict was logged last.
+	loggedConflict uint64
 }
 
-// New returns a Sync that knows nothing yet.
+// New returns a Sync without a configuration and host lists.
 func New(o Options) *Sync {
 	return &Sync{
 		o:      o,
 		holder: revision.NewHolder(),
 		set:    member.NewSet(),
-		//nolint:gosec // The number only tells starts apart.
-		suspects: suspects.New(suspect.NewRegistry(xxhash.Sum64String(o.Self.ID), rand.Uint64()), o.Log),
-		pulls:    make(chan string, pullBacklog),
-		notices:  make(chan struct{}, 1),
-		rewatch:  make(chan struct{}, 1),
+		//nolint:gosec // The number only distinguishes restarts.
+		suspects:      suspects.New(suspect.NewRegistry(xxhash.Sum64String(o.Self.ID), rand.Uint64()), o.Log),
+		pulls:         make(chan string, pullBacklog),
+		notifications: make(chan struct{}, 1),
+		watchChanged:  make(chan struct{}, 1),
 	}
 }
 
-// Run works until the context ends.
+// Run synchronizes until the context ends.
 func (s *Sync) Run(ctx context.Context) error {
 	s.bootstrap(ctx)
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return s.watchLoop(ctx, s.isAlone, s.watchManifest) })
+	group.Go(func() error { return s.watchLoop(ctx, s.watchesDirectly, s.watchManifest) })
 	group.Go(func() error { return s.watchLoop(ctx, never, s.watchHosts) })
 	group.Go(func() error { return s.exchangeLoop(ctx) })
 	group.Go(func() error { return s.pullLoop(ctx) })
-	group.Go(func() error { return s.noticeLoop(ctx) })
+	group.Go(func() error { return s.notifyLoop(ctx) })
 	group.Go(func() error { return s.directLoop(ctx) })
 	group.Go(func() error { return s.zonesLoop(ctx) })
 	return group.Wait()
 }
 
-// Ready reports whether the process has a configuration and has asked about it
-// since it started or woke. It runs in the control loop.
+// Ready reports whether the process has a configuration that was confirmed since it started
+// or resumed. It runs in the control loop.
 func (s *Sync) Ready() bool {
-	return s.holder.Config() != nil && s.fresh.Ready()
+	return s.holder.Config() != nil && s.freshness.Ready()
 }
 
-// Tick lets time pass. It runs in the control loop.
+// Tick records that the process is running, and drops expired suspects. It runs in the
+// control loop.
 func (s *Sync) Tick(now time.Time) {
-	s.fresh.Tick(now)
+	s.freshness.Tick(now)
 	s.suspects.Sweep(now, s.o.Metrics.Suspects)
 }
 
@@ -141,16 +141,16 @@
 	return &gladegaugev1.Version{Revision: cfg.Revision(), Digest: []byte(cfg.Digest())}
 }
 
-// Heard compares a version that rode on another process's message, and fetches
-// from it if it is newer. It runs in the control loop.
+// Heard compares a version piggybacked on another process's message with the one in force,
+// and schedules a fetch from that process if it is newer. It runs in the control loop.
 func (s *Sync) Heard(v *gladegaugev1.Version, address string) {
 	if s.newer(v, address) {
 		s.pull(address)
 	}
 }
 
-// newer reports whether another process's version is above the one in force,
-// and notes a conflict. It runs in the control loop.
+// newer reports whether another process's version is newer than the one in force, and
+// records a conflict. It runs in the control loop.
 func (s *Sync) newer(v *gladegaugev1.Version, address string) bool {
 	if v.GetRevision() == 0 {
 		return false
@@ -159,21 +159,21 @@
 	case revision.Newer:
 		return true
 	case revision.Conflict:
-		s.conflict(v.GetRevision(), address)
+		s.recordConflict(v.GetRevision(), address)
 	case revision.Older, revision.Same, revision.Accepted, revision.Rejected:
 	}
 	return false
 }
 
-// platformName stands for the platform where a peer's address would.
+// platformName names the platform in place of a peer's address.
 const platformName = "platform"
 
-func (s *Sync) conflict(rev uint64, address string) {
+func (s *Sync) recordConflict(rev uint64, address string) {
 	s.o.Metrics.Conflicts.Inc()
-	if s.conflicting != rev {
-		s.conflicting = rev
+	if s.loggedConflict != rev {
+		s.loggedConflict = rev
 		s.o.Log.Error().Uint64("revision", rev).Str("peer", address).
-			Msg("another document has the revision in force; the first one stays")
+			Msg("another document has the revision in force; the first one stays in force")
 	}
 }
 
@@ -188,10 +188,10 @@
 	return gladegaugev1connect.NewPeerServiceClient(s.o.HTTP, s.o.URL(address))
 }
 
-// state returns what the process has in force. It runs in the control loop.
+// state returns the versions that the process has in force. It runs in the control loop.
 func (s *Sync) state(now time.Time) *gladegaugev1.PeerState {
 	st := &gladegaugev1.PeerState{Version: s.Version()}
-	if age, ok := s.fresh.ProofAge(now); ok {
+	if age, ok := s.freshness.ProofAge(now); ok {
 		ms := uint32(min(age.Milliseconds(), math.MaxInt32))
 		st.ProofAgeMs = &ms
 	}
@@ -201,18 +201,19 @@
 	return st
 }
 
-// takeProof takes what a peer tells of the platform's word on the version in force, which
-// it told no earlier than it was asked. It runs in the control loop.
-func (s *Sync) takeProof(asked time.Time, st *gladegaugev1.PeerState) {
+// recordProof records the platform's confirmation of the version in force that a peer
+// relays. The age in the response counts from the time of the request, the earliest time at
+// which the peer can have stated it. It runs in the control loop.
+func (s *Sync) recordProof(asked time.Time, st *gladegaugev1.PeerState) {
 	v := st.GetVersion()
 	if st.ProofAgeMs == nil || s.holder.Compare(v.GetRevision(), string(v.GetDigest())) != revision.Same {
 		return
 	}
-	s.fresh.Proved(asked.Add(-time.Duration(st.GetProofAgeMs()) * time.Millisecond))
+	s.freshness.Proved(asked.Add(-time.Duration(st.GetProofAgeMs()) * time.Millisecond))
 }
 
-// newerZones returns the zones of which the other state has a newer list. It
-// runs in the control loop.
+// newerZones returns the zones whose host lists are newer in the other state. It runs in
+// the control loop.
 func (s *Sync) newerZones(st *gladegaugev1.PeerState) []string {
 	var zones []string
 	for _, l := range st.GetLists() {
@@ -223,9 +224,10 @@
 	return zones
 }
 
-// takeList takes a host list into force. It runs in the control loop.
-func (s *Sync) takeList(now time.Time, list *gladegaugev1.HostList) {
-	list.Hosts = slices.DeleteFunc(list.GetHosts(), s.faulty)
+// applyList applies a host list if it is newer, without its invalid hosts. It runs in the
+// control loop.
+func (s *Sync) applyList(now time.Time, list *gladegaugev1.HostList) {
+	list.Hosts = slices.DeleteFunc(list.GetHosts(), s.invalidHost)
 	next, changed := s.set.With(list)
 	if !changed {
 		return
@@ -235,20 +237,20 @@
 	entries := next.Entries()
 	s.o.Metrics.Hosts.WithLabelValues("entry").Set(float64(entries))
 	s.o.Metrics.Hosts.WithLabelValues("agent").Set(float64(len(next.All()) - entries))
-	s.notice()
-	s.recheckWatch()
+	s.notifyPeers()
+	s.updateWatching()
 }
 
-// faulty reports, and logs, a host that cannot be used.
-func (s *Sync) faulty(h *gladegaugev1.Host) bool {
+// invalidHost reports whether a host cannot be used, and logs its faults.
+func (s *Sync) invalidHost(h *gladegaugev1.Host) bool {
 	faults := config.CheckHost(h)
 	if len(faults) > 0 {
-		s.o.Log.Warn().Str("host", h.GetId()).Str("faults", faults.String()).Msg("host on the list is left out")
+		s.o.Log.Warn().Str("host", h.GetId()).Str("faults", faults.String()).Msg("invalid host in the host list is ignored")
 	}
 	return len(faults) > 0
 }
 
-func (s *Sync) recheckWatch() {
+func (s *Sync) updateWatching() {
 	watching := core.Watches(s.set, s.o.Self)
 	if watching == s.watching {
 		return
@@ -261,30 +263,30 @@
 	s.o.Metrics.Watching.Set(value)
 	s.o.Log.Info().Bool("watching", watching).Msg("watch of the platform changed")
 	select {
-	case s.rewatch <- struct{}{}:
+	case s.watchChanged <- struct{}{}:
 	default:
 	}
 }
 
-// notice makes the peers be told at once.
-func (s *Sync) notice() {
+// notifyPeers triggers an exchange with all peers.
+func (s *Sync) notifyPeers() {
 	select {
-	case s.notices <- struct{}{}:
+	case s.notifications <- struct{}{}:
 	default:
 	}
 }
 
-// consider judges a manifest before its shards are fetched, and notes a
-// conflict. It runs in the control loop.
-func (s *Sync) consider(m *gladegaugev1.Manifest, from string) revision.Verdict {
+// checkManifest checks a manifest before its shards are fetched, and records a conflict. It
+// runs in the control loop.
+func (s *Sync) checkManifest(m *gladegaugev1.Manifest, from string) revision.Verdict {
 	verdict := s.holder.CheckManifest(m)
 	if verdict == revision.Conflict {
-		s.conflict(m.GetRevision(), from)
+		s.recordConflict(m.GetRevision(), from)
 	}
 	return verdict
 }
 
-// apply takes a document into force. It runs in the control loop.
+// apply applies a document. It runs in the control loop.
 func (s *Sync) apply(now time.Time, doc config.Document) revision.Verdict {
 	verdict, faults := s.holder.Apply(doc)
 	switch verdict {
@@ -293,7 +295,7 @@
 		s.o.Metrics.Revision.Set(float64(cfg.Revision()))
 		s.o.Log.Info().Uint64("revision", cfg.Revision()).Msg("configuration in force")
 		s.o.OnConfig(now, cfg)
-		s.notice()
+		s.notifyPeers()
 	case revision.Rejected:
 		if len(faults) > 0 {
 			s.o.Metrics.Rejected.Inc()
@@ -301,18 +303,18 @@
 				Msg("published configuration is rejected")
 		}
 	case revision.Conflict:
-		s.conflict(doc.Manifest.GetRevision(), platformName)
+		s.recordConflict(doc.Manifest.GetRevision(), platformName)
 	case revision.Older, revision.Same, revision.Newer:
 	}
 	return verdict
 }
 
 func jitter(d time.Duration) time.Duration {
-	return time.Duration(rand.Int64N(int64(d))) //nolint:gosec // A spread in time needs no secrecy.
+	return time.Duration(rand.Int64N(int64(d))) //nolint:gosec // Jitter needs no secure randomness.
 }
 
-// Exchange answers a peer with the versions in force, and fetches from it if
-// it has newer ones.
+// Exchange implements the RPC: it returns the versions in force, and schedules a fetch from
+// the caller if it has newer ones.
 func (s *Sync) Exchange(ctx context.Context, req *connect.Request[gladegaugev1.ExchangeRequest]) (*connect.Response[gladegaugev1.ExchangeResponse], error) {
 	resp := &gladegaugev1.ExchangeResponse{}
 	err := s.o.Loop.Do(ctx, func(now time.Time) {
@@ -332,7 +334,7 @@
 	return connect.NewResponse(resp), nil
 }
 
-// Fetch answers a peer with documents in force.
+// Fetch implements the RPC: it returns the requested documents in force.
 func (s *Sync) Fetch(ctx context.Context, req *connect.Request[gladegaugev1.FetchRequest]) (*connect.Response[gladegaugev1.FetchResponse], error) {
 	resp := &gladegaugev1.FetchResponse{}
 	err := s.o.Loop.Do(ctx, func(time.Time) {
--- a/internal/edge/spread/sync_test.go
+++ b/internal/edge/spread/sync_test.go
@@ -11,10 +11,10 @@
 	"github.com/gladegauge/gladegauge/internal/standin/published"
 )
 
-// inForce is how soon a change must be in force everywhere.
-const inForce = 4 * time.Second
+// propagationTime is the maximum time until a change is in force everywhere.
+const propagationTime = 4 * time.Second
 
-func TestChangeIsInForceEverywhere(t *testing.T) {
+func TestChangePropagates(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -24,19 +24,19 @@
 		time.Sleep(10 * time.Second)
 		before := f.platform.Calls()
 		time.Sleep(time.Minute)
-		// Two watchers of a zone with two watches of 20 s each, and their reads
-		// of the list of zones; the 30 others read nothing.
+		// Each zone has two watchers, with two watches of 20 s each and their reads of the
+		// list of zones. The 30 other processes read nothing.
 		is.True(f.platform.Calls()-before <= 3*2*(2*4+3))
 		want := f.change()
-		time.Sleep(inForce)
+		time.Sleep(propagationTime)
 		low, high := f.revisions()
 		is.Equal(low, want)
 		is.Equal(high, want)
 	})
 }
 
-// TestWatchersDie kills both watchers of a zone just before a change.
-func TestWatchersDie(t *testing.T) {
+// TestWatchersStop stops both watchers of a zone just before a change.
+func TestWatchersStop(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -51,15 +51,15 @@
 			}
 		}
 		want := f.change()
-		time.Sleep(inForce)
+		time.Sleep(propagationTime)
 		low, _ := f.revisions()
 		is.Equal(low, want)
 	})
 }
 
-// TestWatchersLoseThePlatform cuts the watchers of all zones off the platform for good; the
-// others go on to reach it, and them.
-func TestWatchersLoseThePlatform(t *testing.T) {
+// TestWatchersLosePlatform disconnects the watchers of all zones from the platform
+// permanently. The other processes still reach the platform and the watchers.
+func TestWatchersLosePlatform(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -71,11 +71,11 @@
 		for _, n := range f.processes {
 			lost[n.id] = n.watches()
 		}
-		f.fabric.setCut(func(from, to string) bool { return to == platformHost && lost[from] })
+		f.network.setCut(func(from, to string) bool { return to == platformHost && lost[from] })
 		time.Sleep(2 * time.Minute)
 		for range 5 {
 			want := f.change()
-			time.Sleep(inForce)
+			time.Sleep(propagationTime)
 			low, _ := f.revisions()
 			is.Equal(low, want)
 			time.Sleep(time.Minute)
@@ -83,9 +83,8 @@
 	})
 }
 
-// TestPlatformIsSilentForAll counts what the processes call while nobody reaches the
-// platform.
-func TestPlatformIsSilentForAll(t *testing.T) {
+// TestPlatformOutage counts the calls to the platform while no process reaches it.
+func TestPlatformOutage(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -99,15 +98,15 @@
 		time.Sleep(time.Minute)
 		calls := f.platform.Calls() - before
 		t.Logf("%d calls of %d processes in a minute", calls, len(f.processes))
-		// The four watchers ask for two values and for the list of zones once a second
-		// each; everybody else asks about ten times a minute.
+		// The four watchers request two values and the list of zones once a second each;
+		// every other process sends about ten requests a minute.
 		is.True(calls <= 4*3*120+20*10)
 	})
 }
 
-// TestZoneIsCutOff cuts a zone off for two minutes; only the other side sees
-// the platform. After healing one revision is in force within 4 s.
-func TestZoneIsCutOff(t *testing.T) {
+// TestZonePartition partitions one zone from the others for two minutes. After the partition
+// heals, one revision must be in force everywhere within 4 s.
+func TestZonePartition(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -123,24 +122,24 @@
 			}
 			return false
 		}
-		f.fabric.setCut(func(from, to string) bool { return isC(from) != isC(to) })
+		f.network.setCut(func(from, to string) bool { return isC(from) != isC(to) })
 		want := f.change()
 		time.Sleep(2 * time.Minute)
 		low, high := f.revisions()
 		is.Equal(low, uint64(1))
 		is.Equal(high, want)
 		for _, n := range f.processes {
-			is.True(n.ready()) // Both sides go on with what they have.
+			is.True(n.ready()) // Both sides keep serving with their configuration.
 		}
-		f.fabric.setCut(nil)
-		time.Sleep(inForce)
+		f.network.setCut(nil)
+		time.Sleep(propagationTime)
 		low, high = f.revisions()
 		is.Equal(low, want)
 		is.Equal(high, want)
 	})
 }
 
-// TestPlatformFaults starts and runs processes while the platform misbehaves.
+// TestPlatformFaults starts and runs processes during faults of the platform.
 func TestPlatformFaults(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
@@ -164,7 +163,7 @@
 			f.change()
 			time.Sleep(time.Minute)
 		}, 2},
-		{"goes back", func(f *fleet) {
+		{"returns older versions", func(f *fleet) {
 			f.startAll()
 			time.Sleep(5 * time.Second)
 			f.change()
@@ -183,9 +182,9 @@
 				f.t.Errorf("a truncated value is in force: %d to %d", low, high)
 			}
 			f.platform.SetFault(published.None)
-			time.Sleep(inForce)
+			time.Sleep(propagationTime)
 		}, 2},
-		{"a bad revision while a process starts", func(f *fleet) {
+		{"an invalid revision while a process starts", func(f *fleet) {
 			for _, n := range f.processes[1:] {
 				f.start(n)
 			}
@@ -198,7 +197,7 @@
 			time.Sleep(5 * time.Second)
 			f.doc.Classes[0].Tier = good
 		}, 1},
-		{"a bad revision while all processes start", func(f *fleet) {
+		{"an invalid revision while all processes start", func(f *fleet) {
 			f.change()
 			good := f.doc.Classes[0].Tier
 			f.doc.Classes[0].Tier = 9
@@ -207,7 +206,7 @@
 			time.Sleep(5 * time.Second)
 			f.doc.Classes[0].Tier = good
 		}, 2},
-		{"down while a process starts beside others", func(f *fleet) {
+		{"down while one process starts and others run", func(f *fleet) {
 			for _, n := range f.processes[1:] {
 				f.start(n)
 			}
@@ -221,26 +220,26 @@
 			time.Sleep(5 * time.Second)
 			f.change()
 			time.Sleep(5 * time.Second)
-			first, _ := f.processes[0].holds()
+			first, _ := f.processes[0].digestAndConflicts()
 			f.doc.Organisations[0].Weight = 77
 			f.publish()
 			time.Sleep(time.Minute)
 			seen := 0
 			for _, n := range f.processes {
-				digest, conflicts := n.holds()
+				digest, conflicts := n.digestAndConflicts()
 				if digest != first {
-					f.t.Errorf("%s left the first document", n.id)
+					f.t.Errorf("%s replaced the first document", n.id)
 				}
 				seen += conflicts
 			}
 			if seen == 0 {
-				f.t.Error("the conflict went unnoticed")
+				f.t.Error("no process detected the conflict")
 			}
 			for _, n := range f.processes {
-				if n.counted("gladegauge_configuration_conflicts_total") == 0 {
+				if n.counterValue("gladegauge_configuration_conflicts_total") == 0 {
 					f.t.Errorf("%s did not count the conflict", n.id)
 				}
-				if lines := strings.Count(n.logged(), "another document has the revision in force"); lines != 1 {
+				if lines := strings.Count(n.logText(), "another document has the revision in force"); lines != 1 {
 					f.t.Errorf("%s logged the conflict %d times", n.id, lines)
 				}
 			}
@@ -265,9 +264,9 @@
 	}
 }
 
-// TestStartBesidePeers starts a process while others run: it reads the lists
-// and the manifest from the platform, and the shards from a peer.
-func TestStartBesidePeers(t *testing.T) {
+// TestStartWithPeers starts a process while others run: it reads the lists and the manifest
+// from the platform, and the shards from a peer.
+func TestStartWithPeers(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -276,21 +275,22 @@
 			f.start(n)
 		}
 		defer f.stopAll()
-		// Between two reads of the list of zones by the watchers.
+		// This is between two reads of the list of zones by the watchers.
 		time.Sleep(5 * time.Second)
 		before := f.platform.Calls()
 		last := f.processes[0]
 		f.start(last)
 		time.Sleep(time.Second)
 		is.True(last.ready())
-		// The list of zones, two lists, the manifest, and its two watches if it
-		// becomes a watcher.
+		// The calls are for the list of zones, two host lists and the manifest, and two
+		// watches if the process becomes a watcher.
 		is.True(f.platform.Calls()-before <= 1+2+1+2)
 	})
 }
 
-// TestNotReadyAlone starts a process that can ask nobody: it is never ready.
-func TestNotReadyAlone(t *testing.T) {
+// TestNotReadyWithoutSource starts a process that reaches neither the platform nor a peer.
+// It must not become ready until the platform is back.
+func TestNotReadyWithoutSource(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
