--- a/internal/edge/exchange/answer.go
+++ b/internal/edge/exchange/answer.go
@@ -8,61 +8,61 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// drainBytes is what is read of a body to keep its connection.
+// drainBytes is the maximum size of a remaining body that is read to reuse its connection.
 const drainBytes = 16 << 10
 
-// Answer is an upstream's answer. Its body is read by the caller, who closes
-// it in any case.
+// Answer is an upstream's response. The caller reads its body and must call Close or Abort.
 type Answer struct {
 	*http.Response
 	client *Client
 	conn   *conn
 	body   *bodyState
-	// stop ends the watch on the context; false if the context has ended.
+	// stop unregisters the function that closes the connection when the context ends. It
+	// returns false if the context has ended.
 	stop func() bool
-	// writer writes a long body while the answer is read; sent is true once
-	// the whole request was written.
+	// writer writes a long body while the response is read. sent is true once the whole
+	// request was written.
 	writer *errgroup.Group
 	sent   *atomic.Bool
 }
 
-// bodyState notes whether the whole body was read.
+// bodyState records whether the whole body was read.
 type bodyState struct {
 	io.Reader
-	whole bool
+	complete bool
 }
 
 // Read reads the body.
 func (b *bodyState) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
 	if err == io.EOF {
-		b.whole = true
+		b.complete = true
 	}
 	return n, err
 }
 
-// Read reads the body of the answer.
+// Read reads the body of the response.
 func (a *Answer) Read(p []byte) (int, error) { return a.body.Read(p) }
 
-// Close ends the exchange. The connection is kept only if both the request
-// and the answer went through whole.
+// Close ends the exchange. The connection is reused only if the request was written and
+// the response read completely.
 func (a *Answer) Close() {
-	if !a.body.whole && a.ContentLength >= 0 && a.ContentLength <= drainBytes {
+	if !a.body.complete && a.ContentLength >= 0 && a.ContentLength <= drainBytes {
 		_, _ = io.CopyN(io.Discard, a.body, a.ContentLength+1)
 	}
-	// An upstream may answer before it has read a long body; what is left of
-	// the body would meet the next request.
-	keep := a.body.whole && a.sent.Load() && !a.Response.Close && a.conn.br.Buffered() == 0
-	if !a.stop() || !keep {
+	// An upstream may respond before it has read a long body. The rest of the body would
+	// then precede the next request on the connection.
+	keepIdle := a.body.complete && a.sent.Load() && !a.Response.Close && a.conn.br.Buffered() == 0
+	if !a.stop() || !keepIdle {
 		_ = a.conn.Close()
 		_ = a.writer.Wait()
 		return
 	}
-	a.client.keep(a.conn, a.client.o.KeepFor(a.Header))
+	a.client.keepIdle(a.conn, a.client.o.KeepFor(a.Header))
 }
 
-// Abort ends the exchange and closes its connection, so that the upstream
-// stops its work.
+// Abort ends the exchange and closes its connection, so that the upstream stops processing
+// the request.
 func (a *Answer) Abort() {
 	a.stop()
 	_ = a.conn.Close()
--- a/internal/edge/exchange/errors.go
+++ b/internal/edge/exchange/errors.go
@@ -2,24 +2,24 @@
 
 import "github.com/cockroachdb/errors"
 
-// ErrWithheld is the cause of an UnsentError if the request was not to go out any more.
-var ErrWithheld = errors.New("withheld: the upstream wants nothing now")
+// ErrWithheld is the cause of an UnsentError if the caller no longer permitted the request
+// when the connection was ready.
+var ErrWithheld = errors.New("withheld: the upstream accepts no requests at present")
 
-// UnsentError says that nothing of the request was written, so that it cannot
-// have run.
+// UnsentError means that no byte of the request was written, so that it cannot have run.
 type UnsentError struct{ Cause error }
 
-// Error returns the cause.
+// Error returns the message with the cause.
 func (e *UnsentError) Error() string { return "not sent: " + e.Cause.Error() }
 
 // Unwrap returns the cause.
 func (e *UnsentError) Unwrap() error { return e.Cause }
 
-// LostError says that the request was sent, wholly or in part, and that no
-// answer came. It may have run.
+// LostError means that the request was sent, at least in part, and that no response
+// arrived. The request may have run.
 type LostError struct{ Cause error }
 
-// Error returns the cause.
+// Error returns the message with the cause.
 func (e *LostError) Error() string { return "no answer: " + e.Cause.Error() }
 
 // Unwrap returns the cause.
--- a/internal/edge/exchange/exchange.go
+++ b/internal/edge/exchange/exchange.go
@@ -1,9 +1,8 @@
-// Package exchange carries one request to one upstream and its answer back.
+// Package exchange sends one request to one upstream and returns its response.
 //
-// Its connections tell what a general HTTP client hides and a router must
-// know: whether a byte of the request was written at all, whether an answer
-// belongs to another request, and whether a kept connection has said something
-// since. The reading and writing of messages is net/http's.
+// It reports what a general HTTP client hides and a router must know: whether any byte of
+// the request was written, whether a response belongs to another request, and whether an
+// idle connection has received data. Messages are parsed and written by net/http.
 //
 // # Usage
 //
@@ -27,33 +26,32 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// DefaultDial is how long a connection may take to come up. Hosts of a region
-// are a few milliseconds apart; a lost opening packet is sent again only after a
-// second, and by then another upstream has the request.
-const DefaultDial = 300 * time.Millisecond
+// DefaultDialTimeout is the time limit for opening a connection. Hosts of a region are a few
+// milliseconds apart. A lost SYN is retransmitted only after a second, and by then the
+// request has been sent to another upstream.
+const DefaultDialTimeout = 300 * time.Millisecond
 
 const (
-	// maxForeign is the number of answers to other requests that are skipped
-	// on one connection, with interim ones.
-	maxForeign = 4
-	// bufferBytes is the size of the buffers of a connection, and the largest
-	// body that is written before the answer is read.
+	// maxSkipped bounds the responses that are read for one request: interim responses and
+	// responses to other requests are skipped.
+	maxSkipped = 4
+	// bufferBytes is the size of the buffers of a connection, and the largest body that is
+	// written before the response is read.
 	bufferBytes = 4 << 10
 )
 
 // Options are the settings of a client.
 type Options struct {
-	// KeepFor returns how long the upstream keeps the connection; 0 if it does
-	// not say.
+	// KeepFor returns how long the upstream keeps an idle connection open, from the headers
+	// of its response; 0 if the upstream does not state it.
 	KeepFor func(h http.Header) time.Duration
-	// Opened is told of each new connection.
+	// Opened is called for each new connection.
 	Opened func()
 	// Clock returns the present time.
 	Clock func() time.Time
 }
 
-// Client holds the kept connections to all upstreams. It is safe for
-// concurrent use.
+// Client holds the idle connections to all upstreams. It is safe for concurrent use.
 type Client struct {
 	o      Options
 	dialer net.Dialer
@@ -66,7 +64,7 @@
 func New(o Options) *Client {
 	return &Client{
 		o:      o,
-		dialer: net.Dialer{Timeout: DefaultDial, Control: abandonSilent},
+		dialer: net.Dialer{Timeout: DefaultDialTimeout, Control: setUserTimeout},
 		idle:   make(map[string][]*conn),
 	}
 }
@@ -75,18 +73,19 @@
 type Call struct {
 	Address string
 	Request *http.Request
-	// Own reports whether an answer belongs to the request.
+	// Own reports whether a response belongs to the request.
 	Own func(*http.Response) bool
-	// Seen is shown the head of each answer that comes on the connection, also of interim
-	// ones and of those to other requests; nil for nobody.
+	// Seen is called with the head of each response on the connection, including interim
+	// responses and those to other requests. It may be nil.
 	Seen func(*http.Response)
-	// May is asked once there is a connection, before the first byte goes out; nil for
-	// always. If not, the call ends with ErrWithheld.
+	// May is called once there is a connection, before the first byte is written. If it
+	// returns false, the call fails with ErrWithheld. If it is nil, the request is always
+	// sent.
 	May func() bool
 }
 
-// Do sends the request and waits for the head of its answer. The end of the context
-// closes the connection, also while the body is read.
+// Do sends the request and waits for the head of its response. The connection is closed
+// when the context ends, also while the body is read.
 func (c *Client) Do(ctx context.Context, call Call) (*Answer, error) {
 	cn, err := c.connect(ctx, call.Address)
 	if err != nil {
@@ -105,7 +104,7 @@
 			return nil, &LostError{Cause: errors.WithStack(context.Cause(ctx))}
 		}
 		if ctx.Err() == nil {
-			c.limit.forgotten(c.o.Clock(), cn.idle)
+			c.limit.recordReset(c.o.Clock(), cn.idle)
 		}
 		return nil, err
 	}
@@ -113,8 +112,8 @@
 	return a, nil
 }
 
-// exchange writes the request while it reads the answer: an upstream may
-// answer before it has read a long body.
+// exchange writes the request and reads the head of the response. A long body is written
+// concurrently: an upstream may respond before it has read all of it.
 func (c *Client) exchange(cn *conn, call Call) (*Answer, error) {
 	req := call.Request
 	w := &countingWriter{Writer: cn.Conn}
@@ -146,9 +145,9 @@
 	return &Answer{Response: resp, client: c, conn: cn, writer: writer, sent: sent, body: body}, nil
 }
 
-// readHead returns the first answer that belongs to the request.
+// readHead returns the first response that belongs to the request.
 func readHead(cn *conn, call Call) (*http.Response, error) {
-	for range maxForeign {
+	for range maxSkipped {
 		resp, err := http.ReadResponse(cn.br, call.Request)
 		if err != nil {
 			return nil, errors.WithStack(err)
@@ -165,11 +164,11 @@
 		_, err = io.Copy(io.Discard, resp.Body)
 		_ = resp.Body.Close()
 		if err != nil {
-			return nil, errors.Wrap(err, "answer to another request")
+			return nil, errors.Wrap(err, "read response to another request")
 		}
 		if resp.Close {
-			return nil, errors.New("only answers to other requests")
+			return nil, errors.New("connection closed after responses to other requests only")
 		}
 	}
-	return nil, errors.New("too many answers to other requests")
+	return nil, errors.New("too many responses to other requests")
 }
--- a/internal/edge/exchange/exchange_test.go
+++ b/internal/edge/exchange/exchange_test.go
@@ -17,24 +17,25 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// upstream answers each request of each connection with the next text. An
-// empty text closes the connection.
+// upstream sends the next of its responses to each request on any connection. An empty
+// response closes the connection. One with the prefix "early " is sent before the request
+// body is read.
 type upstream struct {
-	l     net.Listener
-	group errgroup.Group
-	mu    sync.Mutex
-	texts []string
-	conns []net.Conn
-	heads []string
+	l            net.Listener
+	group        errgroup.Group
+	mu           sync.Mutex
+	responses    []string
+	conns        []net.Conn
+	requestLines []string
 }
 
-func newUpstream(t *testing.T, texts ...string) *upstream {
+func newUpstream(t *testing.T, responses ...string) *upstream {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &upstream{l: l, texts: texts}
+	u := &upstream{l: l, responses: responses}
 	u.group.Go(u.accept)
 	t.Cleanup(func() {
 		_ = l.Close()
@@ -94,12 +95,12 @@
 func (u *upstream) next(req *http.Request) string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.heads = append(u.heads, req.Method+" "+req.RequestURI+" "+req.Header.Get("User-Agent"))
-	if len(u.texts) == 0 {
+	u.requestLines = append(u.requestLines, req.Method+" "+req.RequestURI+" "+req.Header.Get("User-Agent"))
+	if len(u.responses) == 0 {
 		return ""
 	}
-	text := u.texts[0]
-	u.texts = u.texts[1:]
+	text := u.responses[0]
+	u.responses = u.responses[1:]
 	return text
 }
 
@@ -107,11 +108,10 @@
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + string(rune('0'+len(body))) + "\r\n\r\n" + body
 }
 
-type clock struct{ now time.Time }
+type fakeClock struct{ now time.Time }
 
-// client returns a client whose answers carry the identity "mine", and the
-// number of connections it opened.
-func client(c *clock) (*Client, *int) {
+// client returns a client and the number of connections that it has opened.
+func client(c *fakeClock) (*Client, *int) {
 	opened := 0
 	return New(Options{
 		KeepFor: func(http.Header) time.Duration { return 0 },
@@ -120,7 +120,7 @@
 	}), &opened
 }
 
-func mine(r *http.Response) bool { return r.Header.Get("Id") == "mine" }
+func isMine(r *http.Response) bool { return r.Header.Get("Id") == "mine" }
 
 func get(t *testing.T, c *Client, address string, body string) (string, error) {
 	t.Helper()
@@ -129,7 +129,7 @@
 	req.ContentLength = int64(len(body))
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	a, err := c.Do(ctx, Call{Address: address, Request: req, Own: mine})
+	a, err := c.Do(ctx, Call{Address: address, Request: req, Own: isMine})
 	if err != nil {
 		return "", err
 	}
@@ -138,10 +138,10 @@
 	return string(data), err
 }
 
-func TestConnectionsAreKept(t *testing.T) {
+func TestConnectionReuse(t *testing.T) {
 	is := is.New(t)
 	u := newUpstream(t, answer("mine", "1"), answer("mine", "2"), answer("mine", "3"))
-	now := &clock{now: time.Unix(1000, 0)}
+	now := &fakeClock{now: time.Unix(1000, 0)}
 	c, opened := client(now)
 	for _, want := range []string{"1", "2"} {
 		got, err := get(t, c, u.l.Addr().String(), "")
@@ -149,8 +149,8 @@
 		is.Equal(got, want)
 	}
 	is.Equal(*opened, 1)
-	is.Equal(u.heads[0], "POST /a%2Fb?q ") // as written, and no name of ours
-	now.now = now.now.Add(DefaultKeep)
+	is.Equal(u.requestLines[0], "POST /a%2Fb?q ") // the path is unchanged, and no User-Agent is added
+	now.now = now.now.Add(DefaultKeepAlive)
 	_, err := get(t, c, u.l.Addr().String(), "")
 	is.NoErr(err)
 	is.Equal(*opened, 2) // idle for too long
@@ -159,7 +159,7 @@
 func TestSweep(t *testing.T) {
 	is := is.New(t)
 	u := newUpstream(t, answer("mine", "1"), answer("mine", "2"))
-	c, opened := client(&clock{now: time.Unix(1000, 0)})
+	c, opened := client(&fakeClock{now: time.Unix(1000, 0)})
 	_, err := get(t, c, u.l.Addr().String(), "")
 	is.NoErr(err)
 	c.Sweep(func(string) bool { return false })
@@ -168,23 +168,24 @@
 	is.Equal(*opened, 2)
 }
 
-// What an answer may do, and whether its connection goes on.
-func TestAnswers(t *testing.T) {
+// TestResponses covers complete, foreign and invalid responses, and whether the connection
+// is reused afterwards.
+func TestResponses(t *testing.T) {
 	tests := []struct {
 		name string
 		text string
 		body string
 		want string
-		// lost means that there is no answer to use.
+		// lost means that the call fails with a LostError.
 		lost bool
 		kept bool
 	}{
 		{name: "whole", text: answer("mine", "ok"), want: "ok", kept: true},
-		{name: "after one to another request", text: answer("other", "no") + answer("mine", "ok"), want: "ok", kept: true},
-		{name: "followed by another", text: answer("mine", "ok") + answer("mine", "ok"), want: "ok"},
-		{name: "that closes", text: "HTTP/1.1 200 OK\r\nId: mine\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", want: "ok"},
-		{name: "after a hundred", text: "HTTP/1.1 100 Continue\r\n\r\n" + answer("mine", "ok"), want: "ok", kept: true},
-		{name: "only to others", text: strings.Repeat(answer("other", "no"), maxForeign), lost: true},
+		{name: "after a response to another request", text: answer("other", "no") + answer("mine", "ok"), want: "ok", kept: true},
+		{name: "followed by another response", text: answer("mine", "ok") + answer("mine", "ok"), want: "ok"},
+		{name: "with Connection: close", text: "HTTP/1.1 200 OK\r\nId: mine\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", want: "ok"},
+		{name: "after an interim response", text: "HTTP/1.1 100 Continue\r\n\r\n" + answer("mine", "ok"), want: "ok", kept: true},
+		{name: "only responses to other requests", text: strings.Repeat(answer("other", "no"), maxSkipped), lost: true},
 		{name: "nonsense", text: "what?\r\n\r\n", lost: true},
 		{name: "none", text: "", lost: true},
 		{name: "before a long body was read", text: "early " + answer("mine", "ok"), body: strings.Repeat("x", 8<<20), want: "ok"},
@@ -193,7 +194,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			u := newUpstream(t, tt.text, answer("mine", "2"))
-			c, opened := client(&clock{now: time.Unix(1000, 0)})
+			c, opened := client(&fakeClock{now: time.Unix(1000, 0)})
 			got, err := get(t, c, u.l.Addr().String(), tt.body)
 			var lost *LostError
 			is.Equal(errors.As(err, &lost), tt.lost)
@@ -210,8 +211,8 @@
 	}
 }
 
-// A body that breaks off is an error, never an end.
-func TestCutBody(t *testing.T) {
+// TestTruncatedBody checks that a truncated body is an error and not the end of the body.
+func TestTruncatedBody(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -228,7 +229,7 @@
 		_ = conn.Close()
 		return err
 	})
-	c, _ := client(&clock{now: time.Unix(1000, 0)})
+	c, _ := client(&fakeClock{now: time.Unix(1000, 0)})
 	got, err := get(t, c, l.Addr().String(), "")
 	is.Equal(got, "half")
 	is.True(errors.Is(err, io.ErrUnexpectedEOF))
@@ -236,19 +237,19 @@
 	is.NoErr(l.Close())
 }
 
-// Where nobody listens nothing was sent.
+// TestUnsent checks that a refused connection is reported as an UnsentError.
 func TestUnsent(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	is.NoErr(l.Close())
-	c, _ := client(&clock{now: time.Unix(1000, 0)})
+	c, _ := client(&fakeClock{now: time.Unix(1000, 0)})
 	_, err = get(t, c, l.Addr().String(), "")
 	var unsent *UnsentError
 	is.True(errors.As(err, &unsent))
 }
 
-// The end of the context ends the exchange and its connection.
+// TestCancel checks that the end of the context ends the exchange and closes its connection.
 func TestCancel(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -271,7 +272,7 @@
 		}
 		return conn.Close()
 	})
-	c, _ := client(&clock{now: time.Unix(1000, 0)})
+	c, _ := client(&fakeClock{now: time.Unix(1000, 0)})
 	ctx, cancel := context.WithCancel(context.Background())
 	group.Go(func() error {
 		<-got
@@ -279,7 +280,7 @@
 		return nil
 	})
 	req := &http.Request{Method: http.MethodGet, URL: &url.URL{Opaque: "/"}, Host: "h", Header: http.Header{}}
-	_, err = c.Do(ctx, Call{Address: l.Addr().String(), Request: req, Own: mine})
+	_, err = c.Do(ctx, Call{Address: l.Addr().String(), Request: req, Own: isMine})
 	var lost *LostError
 	is.True(errors.As(err, &lost))
 	is.True(errors.Is(err, context.Canceled))
@@ -287,13 +288,13 @@
 	is.NoErr(l.Close())
 }
 
-// A connection that an upstream forgot sooner than it said teaches how long
-// others are used after a pause. It holds for a while.
-func TestForgottenConnections(t *testing.T) {
+// TestIdleLimit checks that a connection which the upstream dropped sooner than announced
+// limits the idle time of other connections for some time.
+func TestIdleLimit(t *testing.T) {
 	is := is.New(t)
 	ok := answer("r-1", "a")
 	u := newUpstream(t, ok, "", ok, ok, ok, ok)
-	cl := &clock{now: time.Unix(1000, 0)}
+	cl := &fakeClock{now: time.Unix(1000, 0)}
 	opened := 0
 	c := New(Options{
 		KeepFor: func(http.Header) time.Duration { return time.Minute },
@@ -312,13 +313,13 @@
 		return err
 	}
 	is.NoErr(call(0))
-	is.True(call(600*time.Millisecond) != nil) // forgotten
+	is.True(call(600*time.Millisecond) != nil) // dropped by the upstream
 	is.NoErr(call(0))
 	is.Equal(opened, 2)
-	is.NoErr(call(250 * time.Millisecond)) // within half of that time
+	is.NoErr(call(250 * time.Millisecond)) // within half of that idle time
 	is.Equal(opened, 2)
-	is.NoErr(call(400 * time.Millisecond)) // beyond it
+	is.NoErr(call(400 * time.Millisecond)) // above it
 	is.Equal(opened, 3)
-	is.NoErr(call(idleMemory + time.Second)) // long ago
+	is.NoErr(call(idleLimitTTL + time.Second)) // the limit has expired
 	is.Equal(opened, 3)
 }
--- a/internal/edge/exchange/idle.go
+++ b/internal/edge/exchange/idle.go
@@ -5,45 +5,45 @@
 	"time"
 )
 
-// Learning of how long upstreams really keep an idle connection. Some forget one
-// sooner than they say, and reset whatever comes next on it; that request may
-// have run, as far as anyone can tell.
+// Parameters of the learned idle limit. Some upstreams drop an idle connection sooner than
+// they announce, and reset the next request on it. Such a request cannot be told from one
+// that ran.
 const (
-	// idleShare is the part of the idle time of a connection that turned out to
-	// be forgotten for which others are still used.
-	idleShare = 0.5
-	// idleLeast is the shortest idle time that is learned. A connection that was
-	// reset sooner was not forgotten.
-	idleLeast = 100 * time.Millisecond
-	// idleMemory is how long a learned time holds after the last reset.
-	idleMemory = 10 * time.Second
+	// idleLimitFactor is the idle limit as a fraction of the idle time after which a
+	// connection was found to be dropped.
+	idleLimitFactor = 0.5
+	// minIdleLimit is the shortest idle limit. A connection that was reset after a shorter
+	// idle time was not dropped for being idle.
+	minIdleLimit = 100 * time.Millisecond
+	// idleLimitTTL is how long a learned limit applies after the last reset.
+	idleLimitTTL = 10 * time.Second
 )
 
-// idleLimit is the longest idle time after which connections are used again. It
-// holds for all upstreams: what makes one forget makes others forget as well.
+// idleLimit is the longest idle time after which connections are reused. It applies to all
+// upstreams, since what makes one of them drop connections affects the others as well.
 type idleLimit struct {
 	mu    sync.Mutex
 	limit time.Duration
 	until time.Time
 }
 
-// allows reports whether a connection may be used after the idle time.
+// allows reports whether a connection may be reused after the idle time.
 func (l *idleLimit) allows(now time.Time, idle time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.limit == 0 || now.After(l.until) || idle <= l.limit
 }
 
-// forgotten notes that a connection broke on its first use after the idle time.
-func (l *idleLimit) forgotten(now time.Time, idle time.Duration) {
-	if idle < idleLeast {
+// recordReset records that a connection failed on its first use after the idle time.
+func (l *idleLimit) recordReset(now time.Time, idle time.Duration) {
+	if idle < minIdleLimit {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	next := max(idleLeast, time.Duration(idleShare*float64(idle)))
+	next := max(minIdleLimit, time.Duration(idleLimitFactor*float64(idle)))
 	if l.limit == 0 || now.After(l.until) || next < l.limit {
 		l.limit = next
 	}
-	l.until = now.Add(idleMemory)
+	l.until = now.Add(idleLimitTTL)
 }
--- a/internal/edge/exchange/pool.go
+++ b/internal/edge/exchange/pool.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// DefaultKeep is how long an idle connection is kept if the upstream does
-	// not say.
-	DefaultKeep = 4 * time.Second
-	// keepMargin is subtracted from what the upstream says, so that a request
-	// does not meet the close on its way.
-	keepMargin = time.Second
+	// DefaultKeepAlive is how long an idle connection is kept if the upstream does not state
+	// it.
+	DefaultKeepAlive = 4 * time.Second
+	// keepAliveMargin is subtracted from the time that the upstream states, so that a
+	// request does not cross the upstream's close.
+	keepAliveMargin = time.Second
 )
 
 // conn is one connection to an upstream.
@@ -23,17 +23,17 @@
 	net.Conn
 	address string
 	br      *bufio.Reader
-	// until is when an idle connection is given up.
+	// until is when an idle connection expires.
 	until time.Time
-	// idleSince is when it became idle, idle how long it had been when it was
-	// taken; 0 for a new one.
+	// idleSince is when the connection became idle. idle is how long it had been idle when
+	// it was reused; 0 for a new one.
 	idleSince time.Time
 	idle      time.Duration
 }
 
-// connect takes a kept connection or opens a new one.
+// connect returns an idle connection or opens a new one.
 func (c *Client) connect(ctx context.Context, address string) (*conn, error) {
-	if cn := c.take(address); cn != nil {
+	if cn := c.getIdle(address); cn != nil {
 		return cn, nil
 	}
 	return c.open(ctx, address)
@@ -49,24 +49,25 @@
 	return &conn{Conn: nc, address: address, br: bufio.NewReaderSize(nc, bufferBytes)}, nil
 }
 
-// take returns the connection that was used last, if it is still sound.
-func (c *Client) take(address string) *conn {
+// getIdle returns the most recently used idle connection that can be reused, or nil. It
+// closes those that cannot.
+func (c *Client) getIdle(address string) *conn {
 	for {
-		cn := c.pop(address)
+		cn := c.popIdle(address)
 		if cn == nil {
 			return nil
 		}
 		now := c.o.Clock()
 		cn.idle = now.Sub(cn.idleSince)
-		if now.Before(cn.until) && c.limit.allows(now, cn.idle) && cn.br.Buffered() == 0 && quiet(cn.Conn) {
+		if now.Before(cn.until) && c.limit.allows(now, cn.idle) && cn.br.Buffered() == 0 && healthy(cn.Conn) {
 			return cn
 		}
 		_ = cn.Close()
 	}
 }
 
-// pop takes the connection that was used last; nil if there is none.
-func (c *Client) pop(address string) *conn {
+// popIdle removes and returns the most recently used idle connection; nil if there is none.
+func (c *Client) popIdle(address string) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := c.idle[address]
@@ -79,13 +80,13 @@
 	return cn
 }
 
-// keep makes the connection idle. The upstream keeps it for d; 0 if it did not
-// say.
-func (c *Client) keep(cn *conn, d time.Duration) {
+// keepIdle adds an idle connection. The upstream keeps it open for d; 0 if it did not state
+// it.
+func (c *Client) keepIdle(cn *conn, d time.Duration) {
 	if d == 0 {
-		d = DefaultKeep
+		d = DefaultKeepAlive
 	} else {
-		d -= min(keepMargin, d/2)
+		d -= min(keepAliveMargin, d/2)
 	}
 	cn.idleSince = c.o.Clock()
 	cn.until = cn.idleSince.Add(d)
@@ -94,8 +95,8 @@
 	c.idle[cn.address] = append(c.idle[cn.address], cn)
 }
 
-// Sweep closes connections that were idle for too long, and all of addresses
-// that are no longer wanted.
+// Sweep closes expired idle connections, and all idle connections to addresses that are no
+// longer wanted.
 func (c *Client) Sweep(wanted func(address string) bool) {
 	now := c.o.Clock()
 	var closing []*conn
--- a/internal/edge/exchange/probe.go
+++ b/internal/edge/exchange/probe.go
@@ -8,16 +8,16 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Refuses reports whether nothing listens at the address: its host refuses a new
-// connection. One that comes up is kept for the next request. It asks also when the
-// context has ended, for the time at most; no answer is no refusal.
-func (c *Client) Refuses(ctx context.Context, address string, most time.Duration) bool {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), most)
+// Refuses reports whether the host at the address refuses a new connection, because nothing
+// listens there. A connection that opens is kept for the next request. The probe runs for
+// up to timeout even if the context has ended; a probe without an answer returns false.
+func (c *Client) Refuses(ctx context.Context, address string, timeout time.Duration) bool {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), timeout)
 	defer cancel()
 	cn, err := c.open(ctx, address)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	c.keep(cn, 0)
+	c.keepIdle(cn, 0)
 	return false
 }
--- a/internal/edge/exchange/socket.go
+++ b/internal/edge/exchange/socket.go
@@ -11,15 +11,15 @@
 // tcpUserTimeout is Linux's TCP_USER_TIMEOUT, which package syscall lacks.
 const tcpUserTimeout = 0x12
 
-// silentAfter is how long sent bytes may go unacknowledged.
-const silentAfter = 1500 * time.Millisecond
+// ackTimeout is how long sent bytes may stay unacknowledged.
+const ackTimeout = 1500 * time.Millisecond
 
-// abandonSilent makes the kernel give up a connection whose peer does not
-// acknowledge what was sent. Otherwise it would hang for minutes.
-func abandonSilent(_, _ string, raw syscall.RawConn) error {
+// setUserTimeout makes the kernel close a connection whose peer does not acknowledge sent
+// data. Otherwise the connection would hang for minutes.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var opt error
 	err := raw.Control(func(fd uintptr) {
-		opt = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(silentAfter.Milliseconds()))
+		opt = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(ackTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return errors.WithStack(err)
@@ -27,9 +27,9 @@
 	return errors.Wrap(opt, "TCP_USER_TIMEOUT")
 }
 
-// quiet reports whether an idle connection is open and has nothing to read.
-// Bytes on it belong to no request.
-func quiet(c net.Conn) bool {
+// healthy reports whether an idle connection is open and has no data to read. Data on an
+// idle connection belongs to no request.
+func healthy(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true
@@ -38,12 +38,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	healthy := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, rerr := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = rerr == syscall.EAGAIN || rerr == syscall.EWOULDBLOCK
+		healthy = rerr == syscall.EAGAIN || rerr == syscall.EWOULDBLOCK
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && healthy
 }
