--- a/internal/edge/configdir/configdir.go
+++ b/internal/edge/configdir/configdir.go
@@ -1,7 +1,7 @@
 // Package configdir reads a configuration from a folder of YAML files.
 //
-// Each file holds a part of the protobuf document in its JSON names; lists of
-// several files are joined. Faults name the file and the field.
+// Each file holds a part of the protobuf document, with its JSON field names. Lists from
+// several files are concatenated. Faults name the file and the field.
 //
 // # Usage
 //
@@ -22,15 +22,15 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// Source tells where the parts of a document came from.
+// Source is a configuration with the files that its parts were read from.
 type Source struct {
 	Configuration *gladegaugev1.Configuration
-	files         []span
+	spans         []span
 	// organisations holds the file of each organisation.
 	organisations map[string]string
 }
 
-// span is the part of each list that one file gave.
+// span is the range of a list that was read from one file.
 type span struct {
 	file   string
 	list   string
@@ -38,7 +38,7 @@
 	length int
 }
 
-// Read joins the files of a folder, in order of their names.
+// Read merges the YAML files of a folder in the order of their names.
 func Read(dir string) (*Source, error) {
 	names, err := filepath.Glob(filepath.Join(dir, "*.yaml"))
 	if err != nil {
@@ -70,11 +70,11 @@
 	file := filepath.Base(name)
 	whole := s.Configuration
 	if part.GetRevision() != 0 && whole.GetRevision() != 0 {
-		return errors.Newf("%s: revision: stands in another file already", name)
+		return errors.Newf("%s: revision: already set in another file", name)
 	}
-	s.note(file, "classes", len(whole.GetClasses()), len(part.GetClasses()))
-	s.note(file, "pools", len(whole.GetPools()), len(part.GetPools()))
-	s.note(file, "organisations", len(whole.GetOrganisations()), len(part.GetOrganisations()))
+	s.addSpan(file, "classes", len(whole.GetClasses()), len(part.GetClasses()))
+	s.addSpan(file, "pools", len(whole.GetPools()), len(part.GetPools()))
+	s.addSpan(file, "organisations", len(whole.GetOrganisations()), len(part.GetOrganisations()))
 	for _, o := range part.GetOrganisations() {
 		s.organisations[o.GetName()] = file
 	}
@@ -82,13 +82,13 @@
 	return nil
 }
 
-func (s *Source) note(file, list string, from, length int) {
+func (s *Source) addSpan(file, list string, from, length int) {
 	if length > 0 {
-		s.files = append(s.files, span{file: file, list: list, from: from, length: length})
+		s.spans = append(s.spans, span{file: file, list: list, from: from, length: length})
 	}
 }
 
-// Parse reads one YAML text. Unknown fields are errors.
+// Parse parses one YAML document. Unknown fields are errors.
 func Parse(text []byte) (*gladegaugev1.Configuration, error) {
 	data, err := yaml.YAMLToJSONStrict(text)
 	if err != nil {
@@ -101,8 +101,8 @@
 	return part, nil
 }
 
-// Locate puts the file before a fault's field, and makes its index that of the
-// file.
+// Locate prefixes a fault's field with its file, and converts its index to the index within
+// that file.
 func (s *Source) Locate(field string) string {
 	if name, ok := quotedName(field); ok && s.organisations[name] != "" {
 		return s.organisations[name] + ": " + field
@@ -111,7 +111,7 @@
 	if !ok {
 		return field
 	}
-	for _, sp := range s.files {
+	for _, sp := range s.spans {
 		if sp.list == list && index >= sp.from && index < sp.from+sp.length {
 			return fmt.Sprintf("%s: %s[%d]%s", sp.file, list, index-sp.from, rest)
 		}
--- a/internal/edge/configdir/field.go
+++ b/internal/edge/configdir/field.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// splitField cuts "classes[3].tier" into "classes", 3 and ".tier".
+// splitField splits "classes[3].tier" into "classes", 3 and ".tier".
 func splitField(field string) (list string, index int, rest string, ok bool) {
 	open := strings.IndexByte(field, '[')
 	end := strings.IndexByte(field, ']')
@@ -19,7 +19,7 @@
 	return field[:open], index, field[end+1:], true
 }
 
-// quotedName reads the name in organisations["hall"].weight.
+// quotedName returns the name in a field such as organisations["hall"].weight.
 func quotedName(field string) (string, bool) {
 	rest, ok := strings.CutPrefix(field, `organisations["`)
 	if !ok {
--- a/internal/edge/platform/platform.go
+++ b/internal/edge/platform/platform.go
@@ -1,8 +1,8 @@
-// Package platform reads the values that the platform publishes.
+// Package platform is a client for the values that the platform publishes.
 //
-// The platform's service can only be read. A value has a rising version, and a
-// read may wait for a version above a given one. Every call is counted, since
-// the platform's rates grow more slowly than the fleet.
+// The platform's service is read-only. Each value has an increasing version, and a read can
+// wait for a version above a given one (a long poll). Every call is counted, since the
+// request rate at the platform must grow more slowly than the fleet.
 //
 // # Usage
 //
@@ -27,9 +27,9 @@
 
 // Names of values.
 const (
-	// ManifestName is the value of the newest manifest.
+	// ManifestName is the name of the newest manifest.
 	ManifestName = "manifest"
-	// VersionHeader carries a value's version.
+	// VersionHeader is the response header with a value's version.
 	VersionHeader = "X-Value-Version"
 )
 
@@ -48,13 +48,13 @@
 	return "hosts/" + zone
 }
 
-// ZonesName is the value that lists the availability zones, a line each.
+// ZonesName is the name of the list of availability zones, one per line.
 const ZonesName = "zones"
 
-// ErrNotFound says that the platform has no such value.
+// ErrNotFound means that the platform has no such value.
 var ErrNotFound = errors.New("no such value")
 
-// ErrUnchanged says that no newer version came within the wait.
+// ErrUnchanged means that no newer version was published within the wait.
 var ErrUnchanged = errors.New("value unchanged")
 
 // Value is one published value.
@@ -70,7 +70,7 @@
 	count func(kind, result string)
 }
 
-// New returns a client of the service at base.
+// New returns a client of the service at the base URL. It calls count for each request.
 func New(base string, c *http.Client, count func(kind, result string)) *Client {
 	return &Client{base: base, http: c, count: count}
 }
@@ -80,7 +80,7 @@
 	return c.get(ctx, "read", name, nil)
 }
 
-// Watch waits for a version above after, at most for the given time.
+// Watch waits for a version above after, for the given time at most.
 func (c *Client) Watch(ctx context.Context, name string, after uint64, wait time.Duration) (Value, error) {
 	query := url.Values{}
 	query.Set("after", strconv.FormatUint(after, 10))
--- a/internal/edge/suspects/book.go
+++ b/internal/edge/suspects/book.go
@@ -1,11 +1,12 @@
-// Package suspects keeps a process's register of requests under which upstreams end,
-// and carries its words in messages.
+// Package suspects holds a process's registry of requests that crash upstreams, and
+// converts its observations to and from messages.
 //
-// Package suspect of the core decides; this one logs, counts and translates.
+// The verdicts are those of the core package suspect; this package adds logs, metrics and
+// the encoding.
 //
 // # Usage
 //
-//	b := suspects.New(register, log)
+//	b := suspects.New(registry, log)
 //	msg.Suspects = b.Tell(now, address, false)
 //	b.Hear(now, address, resp.GetSuspects(), 0)
 //	if b.Any() { // in any goroutine
@@ -24,64 +25,65 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// SoundFor is how long after the first event of a stream it is taken to do its upstream
-// no harm. Upstreams ended 30 to 250 ms after they began to run what ended them.
+// SoundFor is the time from the first event of a stream after which its request counts as
+// harmless. Upstreams crashed 30 to 250 ms after they began to run the request that was the
+// cause.
 const SoundFor = 2 * time.Second
 
-// ProbeTimeout bounds the look whether an upstream that closed a connection still
-// listens: its host lives, so that it answers within a round trip.
+// ProbeTimeout bounds the probe whether an upstream that closed a connection still listens.
+// Its host is up, so it responds within a round trip.
 const ProbeTimeout = 100 * time.Millisecond
 
-// Book is the register of one process. But for Any, it belongs to the control
-// goroutine.
+// Book is the registry of one process. Except for Any, it must be used in the control
+// goroutine only.
 type Book struct {
 	*suspect.Registry
 	log zerolog.Logger
-	// known is the number of requests that are remembered.
+	// known is the number of requests in the registry.
 	known atomic.Int64
 }
 
-// New returns a book of the register.
+// New returns a Book of the registry.
 func New(r *suspect.Registry, log zerolog.Logger) *Book {
 	return &Book{Registry: r, log: log}
 }
 
-// Any reports whether any request is remembered: if none is, nothing needs a print. It
-// is safe for concurrent use.
+// Any reports whether the registry holds any request. If it holds none, no fingerprint needs
+// to be computed. Any is safe for concurrent use.
 func (b *Book) Any() bool { return b.known.Load() > 0 }
 
-// Lost is a request that broke off at an upstream.
+// Lost is a request that failed at an upstream without a complete response.
 type Lost struct {
 	Print suspect.Print
-	// Request is its identity, for the logs.
+	// Request is the request's ID, for logs.
 	Request      string
 	Organisation string
-	// Start is the start of the upstream, and Upstream its name.
+	// Start identifies the upstream instance; Upstream is its name.
 	Start    uint64
 	Upstream string
-	// At is when the request broke off, Ran how long before it had been sent.
+	// At is when the request failed, Ran the time from sending it to the failure.
 	At  time.Time
 	Ran time.Duration
 }
 
-// EndedUnder notes that an upstream ended under the request.
+// EndedUnder records that an upstream crashed while running the request.
 func (b *Book) EndedUnder(l Lost) {
 	b.RecordCrash(l.At, l.Print, l.Start, l.Ran)
 	b.count()
 	b.log.Warn().Str("request", l.Request).Stringer("print", l.Print).Str("upstream", l.Upstream).
 		Str("organisation", l.Organisation).Dur("ran", l.Ran).
 		Int("ends", b.Crashes(l.Print)).Stringer("verdict", b.Check(l.At, l.Print)).
-		Msg("upstream ended under a request")
+		Msg("upstream crashed while running a request")
 }
 
-// Clear notes that the request was answered, or ran for long.
+// Clear records that the request was answered, or ran for long enough.
 func (b *Book) Clear(now time.Time, p suspect.Print, request string) {
 	if b.RecordSuccess(now, p) {
 		b.log.Info().Str("request", request).Stringer("print", p).Msg("suspect: cleared")
 	}
 }
 
-// Sweep forgets old requests, and sets the gauge of the others by verdict.
+// Sweep drops expired requests, and sets the gauge of the others by verdict.
 func (b *Book) Sweep(now time.Time, gauge *prometheus.GaugeVec) {
 	b.Registry.Sweep(now)
 	b.count()
@@ -90,27 +92,27 @@
 	gauge.WithLabelValues(suspect.Blocked.String()).Set(float64(blocked))
 }
 
-// Tell returns the next message to the process at the address; nil if it says
-// nothing.
+// Tell returns the next message to the process at the address; nil if it is empty. If own is
+// set, it leaves out observations received from others.
 func (b *Book) Tell(now time.Time, address string, own bool) *gladegaugev1.SuspectWords {
 	return encode(now, b.Registry.Tell(address, own))
 }
 
-// Hear takes a message from the process at the address, and reports whether it was
-// news. Witness is the hash of one whose words are its own only; 0 for one that passes
-// on words of others.
+// Hear processes a message from the process at the address, and reports whether it contained
+// new evidence. All its observations are attributed to witness, the hash of the sender, or
+// keep their witnesses if it is 0.
 func (b *Book) Hear(now time.Time, address string, msg *gladegaugev1.SuspectWords, witness uint64) bool {
 	if msg == nil {
 		return false
 	}
-	news := b.Registry.Hear(now, address, decode(now, msg), witness)
-	for _, p := range news {
+	changed := b.Registry.Hear(now, address, decode(now, msg), witness)
+	for _, p := range changed {
 		b.log.Info().Stringer("print", p).Str("from", address).
 			Int("ends", b.Crashes(p)).Stringer("verdict", b.Check(now, p)).
-			Msg("suspect: told")
+			Msg("suspect: reported by another process")
 	}
 	b.count()
-	return len(news) > 0
+	return len(changed) > 0
 }
 
 func (b *Book) count() { b.known.Store(int64(b.Known())) }
--- a/internal/edge/suspects/message.go
+++ b/internal/edge/suspects/message.go
@@ -7,7 +7,7 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// encode returns the message; nil if it says nothing.
+// encode returns the encoded message; nil if it is empty.
 func encode(now time.Time, m suspect.Message) *gladegaugev1.SuspectWords {
 	if m.Empty() {
 		return nil
@@ -16,31 +16,31 @@
 		Epoch: m.Upto.Epoch, After: m.After.At, Upto: m.Upto.At,
 		HeardEpoch: m.Heard.Epoch, Heard: m.Heard.At,
 	}
-	for _, w := range m.Words {
+	for _, o := range m.Words {
 		msg.Words = append(msg.Words, &gladegaugev1.SuspectWord{
-			Print: w.Print[:], Round: w.Round, Start: w.Start, Witness: w.Witness,
-			AgeMs: uint32(max(0, now.Sub(w.At).Milliseconds())),
-			RanMs: uint32(max(0, w.Ran.Milliseconds())),
+			Print: o.Print[:], Round: o.Round, Start: o.Start, Witness: o.Witness,
+			AgeMs: uint32(max(0, now.Sub(o.At).Milliseconds())),
+			RanMs: uint32(max(0, o.Ran.Milliseconds())),
 		})
 	}
 	return msg
 }
 
-// decode returns what a message says. A word on what is no print is left out.
+// decode returns the decoded message without observations whose fingerprints are invalid.
 func decode(now time.Time, msg *gladegaugev1.SuspectWords) suspect.Message {
 	m := suspect.Message{
 		After: suspect.Position{Epoch: msg.GetEpoch(), At: msg.GetAfter()},
 		Upto:  suspect.Position{Epoch: msg.GetEpoch(), At: msg.GetUpto()},
 		Heard: suspect.Position{Epoch: msg.GetHeardEpoch(), At: msg.GetHeard()},
 	}
-	for _, w := range msg.GetWords() {
-		if len(w.GetPrint()) != len(suspect.Print{}) {
+	for _, o := range msg.GetWords() {
+		if len(o.GetPrint()) != len(suspect.Print{}) {
 			continue
 		}
 		m.Words = append(m.Words, suspect.Observation{
-			Print: suspect.Print(w.GetPrint()), Round: w.GetRound(), Start: w.GetStart(), Witness: w.GetWitness(),
-			At:  now.Add(-time.Duration(w.GetAgeMs()) * time.Millisecond),
-			Ran: time.Duration(w.GetRanMs()) * time.Millisecond,
+			Print: suspect.Print(o.GetPrint()), Round: o.GetRound(), Start: o.GetStart(), Witness: o.GetWitness(),
+			At:  now.Add(-time.Duration(o.GetAgeMs()) * time.Millisecond),
+			Ran: time.Duration(o.GetRanMs()) * time.Millisecond,
 		})
 	}
 	return m
