--- a/internal/edge/clock/clock.go
+++ b/internal/edge/clock/clock.go
@@ -1,15 +1,16 @@
-// Package clock tells the time that all ages, leases, windows and deadlines are
-// counted by.
+// Package clock provides the time from which all ages, leases, windows and deadlines are
+// computed.
 //
-// The steady clock of a process, which Go's times carry, stands still while its host is
-// suspended, and the time of day may be set. The times of this package go on through
-// both: they are the start of the process by the time of day, plus what has passed since
-// by the kernel's boot time. They carry no steady reading, so that two of them differ by
-// exactly what passed. They must not be given to what counts by the time of day
-// (context.WithDeadline, net.Conn.SetDeadline): give these what is left, or Deadline.
+// The monotonic clock of a process, which Go's times carry, stops while its host is
+// suspended, and the wall clock may be stepped. The times of this package are affected by
+// neither: they are the wall-clock time at the start of the process plus the kernel's boot
+// time since then. They carry no monotonic reading, so that the difference of two of them is
+// exactly the elapsed time. They must not be passed to functions that compare them with the
+// wall clock (context.WithDeadline, net.Conn.SetDeadline): pass these the remaining time, or
+// Deadline.
 //
-// Timers and timeouts count steady time and go off late after a suspension. Whoever
-// waits for one looks at the clock before it acts.
+// Timers and timeouts run on monotonic time and fire late after a suspension. Code that
+// waits for one must read the clock before it acts.
 //
 // # Usage
 //
@@ -27,93 +28,95 @@
 )
 
 const (
-	// lookEvery is how long the kernel's boot time is worked out from the steady clock
-	// before it is asked again: a system call for each of some tens of times a request
-	// would cost more than the requests' own work.
-	lookEvery = 50 * time.Millisecond
-	// driftMost is how far the time of day and the steady clock may part before the
-	// kernel is asked at once: a suspension or a step of the time of day shows so.
-	driftMost = 5 * time.Millisecond
+	// bootReadInterval is how long the boot time is extrapolated from the monotonic clock
+	// before it is read from the kernel again. The time is read some tens of times per
+	// request, and a system call each time would cost more than the rest of the request.
+	bootReadInterval = 50 * time.Millisecond
+	// maxDrift is the difference between the wall clock and the monotonic clock from which
+	// the boot time is read at once: it indicates a suspension or a step of the wall clock.
+	maxDrift = 5 * time.Millisecond
 )
 
-// Sources are what a clock is made of; tests have their own.
+// Sources are the clocks that a Clock reads; tests replace them.
 type Sources struct {
-	// Start is the time of day when the clock is made.
+	// Start is the wall-clock time when the Clock is created.
 	Start time.Time
-	// Read returns what has passed since then by the steady clock and by the time of day.
-	Read func() (steady, day time.Duration)
-	// Boot returns the time since the start of the host, suspensions with it.
+	// Read returns the time since then by the monotonic clock and by the wall clock.
+	Read func() (monotonic, wall time.Duration)
+	// Boot returns the time since the host booted, including suspensions.
 	Boot func() (time.Duration, error)
 }
 
-// Clock tells the time. It is safe for concurrent use.
+// Clock returns the current time. It is safe for concurrent use.
 type Clock struct {
 	sources     Sources
 	bootAtStart time.Duration
-	latest      atomic.Pointer[look]
+	latest      atomic.Pointer[sample]
 }
 
-// look is what the clocks said when the kernel was asked last.
-type look struct {
-	// steady and day are the time since the start by the steady clock and by the time of
-	// day.
-	steady, day time.Duration
-	// suspended is how much longer it is by the boot time than by the steady clock.
+// sample is a reading of the clocks at the latest read of the boot time.
+type sample struct {
+	// monotonic and wall are the time since the start by the monotonic clock and by the wall
+	// clock.
+	monotonic, wall time.Duration
+	// suspended is the time spent suspended: the excess of the boot time over the monotonic
+	// clock.
 	suspended time.Duration
 }
 
 // New returns the clock of this host.
 func New() *Clock {
 	start := time.Now()
-	day := start.Round(0)
+	wall := start.Round(0)
 	return From(Sources{
-		Start: day,
+		Start: wall,
 		Read: func() (time.Duration, time.Duration) {
 			t := time.Now()
-			return t.Sub(start), t.Round(0).Sub(day)
+			return t.Sub(start), t.Round(0).Sub(wall)
 		},
 		Boot: bootTime,
 	})
 }
 
-// From returns a clock of the sources.
+// From returns a clock that reads the given sources.
 func From(s Sources) *Clock {
 	c := &Clock{sources: s}
-	// A kernel without a boot time leaves the steady clock: nothing is ever suspended.
+	// Without a boot time the clock follows the monotonic clock, and suspensions do not
+	// count.
 	boot, _ := s.Boot()
-	steady, day := s.Read()
-	c.bootAtStart = boot - steady
-	c.latest.Store(&look{steady: steady, day: day})
+	monotonic, wall := s.Read()
+	c.bootAtStart = boot - monotonic
+	c.latest.Store(&sample{monotonic: monotonic, wall: wall})
 	return c
 }
 
-// Now returns the present time.
+// Now returns the current time.
 func (c *Clock) Now() time.Time {
-	steady, day := c.sources.Read()
+	monotonic, wall := c.sources.Read()
 	l := c.latest.Load()
-	drift := (day - steady) - (l.day - l.steady)
-	if steady-l.steady >= lookEvery || drift > driftMost || drift < -driftMost {
-		l = c.look(l)
+	drift := (wall - monotonic) - (l.wall - l.monotonic)
+	if monotonic-l.monotonic >= bootReadInterval || drift > maxDrift || drift < -maxDrift {
+		l = c.sample(l)
 	}
-	return c.sources.Start.Add(steady + l.suspended)
+	return c.sources.Start.Add(monotonic + l.suspended)
 }
 
-// Deadline is when the time will have passed by the clock that package net counts by. What
-// is left of a deadline is worked out by a Clock.
+// Deadline returns the time after the remaining duration on the clock that package net uses.
+// The remaining duration is computed with a Clock.
 func Deadline(left time.Duration) time.Time { return time.Now().Add(left) }
 
-// look asks the kernel. The steady clock is read after it: a process that stands still
-// between the two takes a suspension for shorter, until the next look, and never for
-// longer. Time does not go back.
-func (c *Clock) look(before *look) *look {
+// sample reads the boot time and stores a new sample. The monotonic clock is read after the
+// boot time: a process that is paused between the two underestimates a suspension until the
+// next sample, and never overestimates it. The time does not go back.
+func (c *Clock) sample(before *sample) *sample {
 	boot, err := c.sources.Boot()
-	steady, day := c.sources.Read()
-	l := &look{steady: steady, day: day}
+	monotonic, wall := c.sources.Read()
+	l := &sample{monotonic: monotonic, wall: wall}
 	if err == nil {
-		l.suspended = boot - c.bootAtStart - steady
+		l.suspended = boot - c.bootAtStart - monotonic
 	}
-	// Another goroutine may have asked meanwhile. A plain store of the older answer forgot
-	// a suspension of 5 s for 50 ms.
+	// Another goroutine may have stored a newer sample meanwhile. Overwriting it with this
+	// one would ignore a suspension in between until the next sample, for 50 ms.
 	for {
 		l.suspended = max(l.suspended, before.suspended)
 		if c.latest.CompareAndSwap(before, l) {
@@ -123,7 +126,7 @@
 	}
 }
 
-// bootTime is CLOCK_BOOTTIME.
+// bootTime reads CLOCK_BOOTTIME.
 func bootTime() (time.Duration, error) {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/internal/edge/clock/clock_test.go
+++ b/internal/edge/clock/clock_test.go
@@ -8,19 +8,19 @@
 	"github.com/matryer/is"
 )
 
-// host is the clocks of a host.
+// host holds the simulated clocks of a host.
 type host struct {
-	steady, day, boot time.Duration
-	failing           bool
-	asked             int
+	monotonic, wall, boot time.Duration
+	failing               bool
+	bootReads             int
 }
 
 func (h *host) sources() Sources {
 	return Sources{
 		Start: time.Unix(1000, 0),
-		Read:  func() (time.Duration, time.Duration) { return h.steady, h.day },
+		Read:  func() (time.Duration, time.Duration) { return h.monotonic, h.wall },
 		Boot: func() (time.Duration, error) {
-			h.asked++
+			h.bootReads++
 			if h.failing {
 				return 0, errors.New("no such clock")
 			}
@@ -29,25 +29,25 @@
 	}
 }
 
-func (h *host) pass(d time.Duration) {
-	h.steady += d
-	h.day += d
+func (h *host) advance(d time.Duration) {
+	h.monotonic += d
+	h.wall += d
 	h.boot += d
 }
 
-// Suspensions count, steps of the time of day do not.
+// TestClock checks that suspensions count and that steps of the wall clock do not.
 func TestClock(t *testing.T) {
 	tests := []struct {
 		name string
 		then func(h *host)
 		want time.Duration
 	}{
-		{"time passes", func(h *host) { h.pass(time.Second) }, time.Second},
-		{"the host is suspended", func(h *host) { h.boot += 5 * time.Second; h.day += 5 * time.Second }, 5 * time.Second},
-		{"it is suspended, and the time of day is set back", func(h *host) { h.boot += 5 * time.Second; h.pass(lookEvery) }, 5*time.Second + lookEvery},
-		{"the time of day is set ahead", func(h *host) { h.day += time.Hour }, 0},
-		{"the time of day is set back", func(h *host) { h.day -= time.Hour; h.pass(time.Second) }, time.Second},
-		{"the kernel has no boot time", func(h *host) { h.failing = true; h.day += time.Hour; h.pass(time.Second) }, time.Second},
+		{"time passes", func(h *host) { h.advance(time.Second) }, time.Second},
+		{"the host is suspended", func(h *host) { h.boot += 5 * time.Second; h.wall += 5 * time.Second }, 5 * time.Second},
+		{"it is suspended, and the wall clock is set back", func(h *host) { h.boot += 5 * time.Second; h.advance(bootReadInterval) }, 5*time.Second + bootReadInterval},
+		{"the wall clock is set ahead", func(h *host) { h.wall += time.Hour }, 0},
+		{"the wall clock is set back", func(h *host) { h.wall -= time.Hour; h.advance(time.Second) }, time.Second},
+		{"the kernel has no boot time", func(h *host) { h.failing = true; h.wall += time.Hour; h.advance(time.Second) }, time.Second},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -62,10 +62,10 @@
 	}
 }
 
-// A goroutine asked the kernel, the host was suspended, and another one asked and noted it;
-// then the first noted its older answer, and the suspension was forgotten for 50 ms:
-// "50ms != 5.05s".
-func TestOlderAnswerComesLast(t *testing.T) {
+// TestOlderSampleStoredLast guards against a lost suspension: one goroutine reads the boot
+// time, the host is suspended, another goroutine reads it and stores its sample, and then the
+// first one stores its older sample. A suspension of 5 s would be ignored for 50 ms.
+func TestOlderSampleStoredLast(t *testing.T) {
 	is := is.New(t)
 	h := &host{boot: time.Hour}
 	s := h.sources()
@@ -76,44 +76,45 @@
 		if c != nil && !inner {
 			inner = true
 			h.boot += 5 * time.Second
-			h.day += 5 * time.Second
+			h.wall += 5 * time.Second
 			c.Now()
 		}
 		return answer, nil
 	}
 	c = From(s)
 	before := s.Start
-	h.pass(lookEvery)
+	h.advance(bootReadInterval)
 	c.Now()
-	is.Equal(c.Now().Sub(before), 5*time.Second+lookEvery)
+	is.Equal(c.Now().Sub(before), 5*time.Second+bootReadInterval)
 }
 
-// The kernel is asked now and then, and at once when the clocks part.
+// TestSystemCalls checks that the boot time is read periodically, and at once when the clocks
+// diverge.
 func TestSystemCalls(t *testing.T) {
 	is := is.New(t)
 	h := &host{}
 	c := From(h.sources())
 	for range 1000 {
-		h.pass(time.Millisecond)
+		h.advance(time.Millisecond)
 		c.Now()
 	}
-	is.Equal(h.asked, 1+1000/int(lookEvery/time.Millisecond))
+	is.Equal(h.bootReads, 1+1000/int(bootReadInterval/time.Millisecond))
 	h.boot += time.Second
-	h.day += time.Second
+	h.wall += time.Second
 	c.Now()
-	is.Equal(h.asked, 2+1000/int(lookEvery/time.Millisecond))
+	is.Equal(h.bootReads, 2+1000/int(bootReadInterval/time.Millisecond))
 }
 
-// The clock of this host goes on.
+// TestNow checks that the real clock does not go back.
 func TestNow(t *testing.T) {
 	is := is.New(t)
 	c := New()
 	before := c.Now()
 	is.True(!c.Now().Before(before))
-	is.Equal(before.String(), before.Round(0).String()) // no steady reading
+	is.Equal(before.String(), before.Round(0).String()) // no monotonic reading
 }
 
-// BenchmarkNow names what the present time costs.
+// BenchmarkNow measures the cost of reading the current time.
 func BenchmarkNow(b *testing.B) {
 	c := New()
 	for b.Loop() {
--- a/internal/edge/logging/bounded.go
+++ b/internal/edge/logging/bounded.go
@@ -9,39 +9,39 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// boundedBytes is what waits for a slow output at the most; a few thousand
+// maxBufferBytes is the size limit of the buffer for a slow output; it holds a few thousand
 // lines.
-const boundedBytes = 256 << 10
+const maxBufferBytes = 256 << 10
 
-// pieceBytes is the most that is written in one call, but for a longer line: a pipe takes as
-// much in one piece, whoever else writes to it, and readers with a buffer of their own lose
-// nothing of a burst.
-const pieceBytes = 4 << 10
+// maxWriteBytes is the maximum size of one write, except for a single longer line. Writes of
+// up to this size to a pipe are atomic even with other writers, and readers with a small
+// buffer lose nothing of a burst.
+const maxWriteBytes = 4 << 10
 
-// Bounded is a writer that never blocks: lines that do not fit its buffer are
-// dropped and counted. It is safe for concurrent use.
+// Bounded is a writer that never blocks: lines that do not fit into its buffer are dropped
+// and counted. It is safe for concurrent use.
 type Bounded struct {
 	out io.Writer
 	mu  sync.Mutex
 	buf bytes.Buffer
-	// wake tells the writer that lines wait; done tells it to end.
+	// wake signals the writer goroutine that lines are buffered; done stops it.
 	wake    chan struct{}
 	done    chan struct{}
 	dropped atomic.Uint64
 	writer  errgroup.Group
 }
 
-// NewBounded returns a writer to out. Close writes what is left.
+// NewBounded returns a writer to out. Close flushes the buffered lines.
 func NewBounded(out io.Writer) *Bounded {
 	b := &Bounded{out: out, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	b.writer.Go(b.run)
 	return b
 }
 
-// Write takes one line, or drops it.
+// Write buffers one line, or drops it if the buffer is full.
 func (b *Bounded) Write(line []byte) (int, error) {
 	b.mu.Lock()
-	fits := b.buf.Len()+len(line) <= boundedBytes
+	fits := b.buf.Len()+len(line) <= maxBufferBytes
 	if fits {
 		b.buf.Write(line)
 	}
@@ -60,13 +60,13 @@
 // Dropped returns the number of lines that were dropped.
 func (b *Bounded) Dropped() uint64 { return b.dropped.Load() }
 
-// Close writes what waits and ends the writer.
+// Close writes the buffered lines and stops the writer.
 func (b *Bounded) Close() error {
 	close(b.done)
 	return b.writer.Wait()
 }
 
-// run writes everything that waits, until done is closed.
+// run writes the buffered lines until done is closed.
 func (b *Bounded) run() error {
 	var spare []byte
 	for {
@@ -81,9 +81,9 @@
 		b.buf.Reset()
 		b.mu.Unlock()
 		for left := spare; len(left) > 0; {
-			n := pieceOf(left)
+			n := writeLen(left)
 			if _, err := b.out.Write(left[:n]); err != nil {
-				// There is nowhere left to tell; the lines count as dropped.
+				// The error cannot be logged; the lines count as dropped.
 				b.dropped.Add(uint64(bytes.Count(left[:n], []byte("\n"))))
 			}
 			left = left[n:]
@@ -94,13 +94,13 @@
 	}
 }
 
-// pieceOf returns the length of the first piece: as many whole lines as fit, and one line at
-// least.
-func pieceOf(lines []byte) int {
-	if len(lines) <= pieceBytes {
+// writeLen returns the length of the next write: as many complete lines as fit, and at least
+// one line.
+func writeLen(lines []byte) int {
+	if len(lines) <= maxWriteBytes {
 		return len(lines)
 	}
-	if end := bytes.LastIndexByte(lines[:pieceBytes], '\n'); end >= 0 {
+	if end := bytes.LastIndexByte(lines[:maxWriteBytes], '\n'); end >= 0 {
 		return end + 1
 	}
 	if end := bytes.IndexByte(lines, '\n'); end >= 0 {
--- a/internal/edge/logging/bounded_test.go
+++ b/internal/edge/logging/bounded_test.go
@@ -9,26 +9,26 @@
 	"github.com/matryer/is"
 )
 
-// firstPart is an output that keeps no more of each write than a buffer of its own holds, and
-// writes nothing before it is let go.
-type firstPart struct {
-	mu   sync.Mutex
-	most int
-	kept bytes.Buffer
+// truncatingWriter is an output that keeps only the first limit bytes of each write, and
+// blocks while its mutex is locked.
+type truncatingWriter struct {
+	mu      sync.Mutex
+	limit   int
+	written bytes.Buffer
 }
 
-// Write takes the beginning.
-func (p *firstPart) Write(b []byte) (int, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.kept.Write(b[:min(len(b), p.most)])
+// Write keeps the beginning of b.
+func (w *truncatingWriter) Write(b []byte) (int, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.written.Write(b[:min(len(b), w.limit)])
 	return len(b), nil
 }
 
-// A burst of lines is written whole, though the output takes it with a small buffer: after a
-// host stood still, the lines of many requests came in one piece, and all beyond its first
-// kilobytes were lost.
-func TestBurstOfLinesIsWrittenWhole(t *testing.T) {
+// TestBurstIsWrittenCompletely guards against log lines lost by a reader with a small buffer:
+// after a pause of the host, the lines of many requests were written in one call, and all
+// beyond the first kilobytes were lost.
+func TestBurstIsWrittenCompletely(t *testing.T) {
 	tests := []struct {
 		name  string
 		lines int
@@ -36,16 +36,16 @@
 		length int
 	}{
 		{"one line", 1, 300},
-		{"a piece", 10, 300},
-		{"many pieces", 400, 300},
-		{"lines as long as a piece", 5, pieceBytes},
-		{"longer lines", 3, pieceBytes + 500},
+		{"one write", 10, 300},
+		{"many writes", 400, 300},
+		{"lines of the maximum write size", 5, maxWriteBytes},
+		{"longer lines", 3, maxWriteBytes + 500},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			out := &firstPart{most: 2 * pieceBytes}
-			out.mu.Lock() // all lines wait
+			out := &truncatingWriter{limit: 2 * maxWriteBytes}
+			out.mu.Lock() // all lines are buffered
 			b := NewBounded(out)
 			var want strings.Builder
 			for i := range tt.lines {
@@ -56,7 +56,7 @@
 			}
 			out.mu.Unlock()
 			is.NoErr(b.Close())
-			is.Equal(out.kept.String(), want.String())
+			is.Equal(out.written.String(), want.String())
 			is.Equal(b.Dropped(), uint64(0))
 		})
 	}
--- a/internal/edge/logging/logging.go
+++ b/internal/edge/logging/logging.go
@@ -1,7 +1,7 @@
-// Package logging makes the logger of a program.
+// Package logging creates the logger of a program.
 //
-// Lines are JSON, or readable on a terminal. A program counts events in its
-// metrics and logs changes of state only.
+// Lines are JSON, or human-readable on a terminal. Programs count events in their metrics and
+// log only changes of state.
 //
 // # Usage
 //
@@ -16,10 +16,10 @@
 	"github.com/rs/zerolog"
 )
 
-// Levels are the levels that a setting may name.
+// Levels are the log levels that a setting accepts.
 var Levels = []string{"debug", "info", "warn", "error"}
 
-// New returns a logger to the file.
+// New returns a logger that writes to the file.
 func New(f *os.File, level, program, id string) zerolog.Logger {
 	zerolog.TimeFieldFormat = time.RFC3339Nano
 	lv, err := zerolog.ParseLevel(level)
--- a/internal/edge/metrics/family.go
+++ b/internal/edge/metrics/family.go
@@ -2,9 +2,9 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Family makes the metrics of one kind of process.
+// Family creates the metrics of one kind of process.
 type Family struct {
-	// Namespace begins the name of each metric.
+	// Namespace is the prefix of the name of each metric.
 	Namespace string
 	// Buckets are the upper bounds of every histogram, in seconds.
 	Buckets []float64
@@ -15,12 +15,12 @@
 	return prometheus.NewCounter(prometheus.CounterOpts{Namespace: f.Namespace, Name: name, Help: help})
 }
 
-// Counters returns a counter for each set of label values.
+// Counters returns a counter with the given labels.
 func (f Family) Counters(name, help string, labels ...string) *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: f.Namespace, Name: name, Help: help}, labels)
 }
 
-// CounterOf returns a counter whose value is asked for when it is read.
+// CounterOf returns a counter whose value is computed when it is collected.
 func (f Family) CounterOf(name, help string, value func() uint64) prometheus.CounterFunc {
 	return prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: f.Namespace, Name: name, Help: help},
 		func() float64 { return float64(value()) })
@@ -31,18 +31,18 @@
 	return prometheus.NewGauge(prometheus.GaugeOpts{Namespace: f.Namespace, Name: name, Help: help})
 }
 
-// GaugeOf returns a gauge whose value is asked for when it is read.
+// GaugeOf returns a gauge whose value is computed when it is collected.
 func (f Family) GaugeOf(name, help string, value func() uint64) prometheus.GaugeFunc {
 	return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: f.Namespace, Name: name, Help: help},
 		func() float64 { return float64(value()) })
 }
 
-// Gauges returns a gauge for each set of label values.
+// Gauges returns a gauge with the given labels.
 func (f Family) Gauges(name, help string, labels ...string) *prometheus.GaugeVec {
 	return prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: f.Namespace, Name: name, Help: help}, labels)
 }
 
-// Histograms returns a histogram for each set of label values.
+// Histograms returns a histogram with the given labels.
 func (f Family) Histograms(name, help string, labels ...string) *prometheus.HistogramVec {
 	return prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Namespace: f.Namespace, Name: name, Help: help, Buckets: f.Buckets,
