--- a/internal/edge/program/command.go
+++ b/internal/edge/program/command.go
@@ -13,7 +13,7 @@
 	"github.com/gladegauge/gladegauge/internal/edge/settings"
 )
 
-// Version returns the build's version.
+// Version returns the version of the main module in the build information.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -22,16 +22,16 @@
 	return info.Main.Version
 }
 
-// Command is a subcommand made of functions.
+// Command is a subcommand that is implemented by functions.
 type Command struct {
 	Title string
 	Short string
 	Long  string
 	// Declare declares the command's settings.
 	Declare func(s *settings.Set)
-	// Check returns faults that single settings cannot show; may be nil.
+	// Check returns faults beyond those of single settings. It may be nil.
 	Check func() config.Faults
-	// Do works with the settings and the remaining arguments.
+	// Do runs the command with the remaining arguments and returns the exit code.
 	Do func(ctx context.Context, args []string) int
 
 	set       *settings.Set
@@ -41,7 +41,7 @@
 // Name returns the name of the subcommand.
 func (c *Command) Name() string { return c.Title }
 
-// Synopsis returns one line about the subcommand.
+// Synopsis returns a one-line description of the subcommand.
 func (c *Command) Synopsis() string { return c.Short }
 
 // Usage returns the help text.
@@ -49,7 +49,7 @@
 	return fmt.Sprintf("%s %s\n%s\n", c.Title, c.Long, c.Short)
 }
 
-// SetFlags declares the flags.
+// SetFlags declares the flags of the command's settings.
 func (c *Command) SetFlags(f *flag.FlagSet) {
 	c.set = settings.New(f)
 	if c.Declare != nil {
@@ -57,9 +57,9 @@
 	}
 }
 
-// Execute checks the settings and works.
+// Execute loads and checks the settings and runs the command.
 func (c *Command) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	// Load parses again, which forgets the arguments.
+	// Load parses the flag set again, which discards the arguments.
 	args := f.Args()
 	faults := c.set.Load()
 	if c.printOnly {
@@ -91,7 +91,7 @@
 	}
 }
 
-// VersionCommand prints the version.
+// VersionCommand returns a command that prints the version.
 func VersionCommand() *Command {
 	return &Command{
 		Title: "version",
@@ -103,7 +103,7 @@
 	}
 }
 
-// Main runs the subcommand that the arguments name and ends the process.
+// Main runs the subcommand named by the arguments and exits the process.
 func Main(commands ...*Command) {
 	subcommands.Register(subcommands.HelpCommand(), "")
 	subcommands.Register(subcommands.FlagsCommand(), "")
--- a/internal/edge/program/program.go
+++ b/internal/edge/program/program.go
@@ -1,5 +1,5 @@
-// Package program holds what all the long-running programs share: their common
-// settings, their listeners and their planned stop.
+// Package program contains what all long-running programs share: common settings, listeners
+// and graceful shutdown.
 //
 // # Usage
 //
@@ -36,8 +36,8 @@
 	ExitSettings = 2
 )
 
-// memoryShare is the garbage collector's target, in percent of live data.
-const memoryShare = 100
+// gcPercent is the garbage collector's target, in percent of the live heap.
+const gcPercent = 100
 
 // Common are the settings of every long-running program.
 type Common struct {
@@ -51,7 +51,7 @@
 	Keys     rpc.Keys
 }
 
-// Declare declares the settings.
+// Declare declares the common settings.
 func (c *Common) Declare(s *settings.Set) {
 	s.String(&c.ID, "id", "", "identity of this process, as the platform lists it", settings.Required, settings.Name)
 	s.String(&c.Zone, "zone", "", "availability zone of this process", settings.Required, settings.Name)
@@ -75,7 +75,7 @@
 	return ""
 }
 
-// SplitList cuts a list with commas; an empty text is an empty list.
+// SplitList splits a comma-separated list. An empty string is an empty list.
 func SplitList(value string) []string {
 	if value == "" {
 		return nil
@@ -102,21 +102,21 @@
 	return f
 }
 
-// Service is a program's work between its start and its stop.
+// Service is the work of a program between start and shutdown.
 type Service struct {
-	// Run works until the context ends.
+	// Run serves until the context ends.
 	Run func(ctx context.Context) error
-	// Drain stops new work and returns when nothing is in progress.
+	// Drain rejects new work and returns when nothing is in progress.
 	Drain func(ctx context.Context) error
-	// InProgress counts what a hard stop would cut.
+	// InProgress returns the number of units of work that an immediate stop would interrupt.
 	InProgress func() int
 }
 
-// Run carries the service from start to stop and returns the exit code. The
-// first SIGTERM or interrupt begins a planned stop, which has no deadline; the
-// second one ends the process at once.
+// Run runs the service until it stops and returns the exit code. The first SIGTERM or
+// interrupt begins a graceful shutdown, which has no deadline; the second one ends the
+// process at once.
 func Run(ctx context.Context, log zerolog.Logger, s Service) int {
-	debug.SetGCPercent(memoryShare)
+	debug.SetGCPercent(gcPercent)
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	defer signal.Stop(signals)
@@ -136,8 +136,8 @@
 	return ExitOK
 }
 
-// errCut says that a second signal cut off work in progress.
-var errCut = errors.New("second signal: work in progress was cut off")
+// errInterrupted means that a second signal interrupted work in progress.
+var errInterrupted = errors.New("second signal: work in progress was interrupted")
 
 func stop(ctx context.Context, log zerolog.Logger, s Service, signals <-chan os.Signal) error {
 	select {
@@ -145,7 +145,7 @@
 	case <-ctx.Done():
 		return nil
 	}
-	log.Info().Int("in_progress", s.InProgress()).Msg("planned stop: no new work")
+	log.Info().Int("in_progress", s.InProgress()).Msg("planned stop: rejecting new work")
 	drainCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	group, drainCtx := errgroup.WithContext(drainCtx)
@@ -158,17 +158,17 @@
 	case <-drained:
 		return group.Wait()
 	case <-signals:
-		cut := s.InProgress()
+		interrupted := s.InProgress()
 		cancel()
 		_ = group.Wait()
-		log.Error().Int("cut", cut).Msg("second signal: ending at once")
-		return errCut
+		log.Error().Int("cut", interrupted).Msg("second signal: stopping at once")
+		return errInterrupted
 	case <-ctx.Done():
 		return group.Wait()
 	}
 }
 
-// Listen opens a listener and logs where.
+// Listen opens a TCP listener and logs its address.
 func Listen(log zerolog.Logger, name, address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -178,8 +178,8 @@
 	return l, nil
 }
 
-// Serve listens for other processes and for operators' tools, until the context
-// ends.
+// Serve starts the servers for other processes and for operators' tools. They run in the
+// group until the context ends.
 func (c *Common) Serve(ctx context.Context, group *errgroup.Group, log zerolog.Logger, processes, operators http.Handler) error {
 	rpcListener, err := Listen(log, "rpc-listen", c.RPC)
 	if err != nil {
@@ -209,7 +209,7 @@
 	return nil
 }
 
-// WaitUntil asks again and again until the condition holds.
+// WaitUntil polls the condition until it holds or the context ends.
 func WaitUntil(ctx context.Context, done func() bool) error {
 	const every = 20 * time.Millisecond
 	t := time.NewTicker(every)
--- a/internal/edge/settings/settings.go
+++ b/internal/edge/settings/settings.go
@@ -1,8 +1,7 @@
-// Package settings reads a program's settings from flags and environment.
+// Package settings reads a program's settings from flags and environment variables.
 //
-// A flag named upstream-url is also read from GLADEGAUGE_UPSTREAM_URL; the
-// flag goes first. All settings are checked together, and every fault is named
-// in one message.
+// A flag named upstream-url is also read from GLADEGAUGE_UPSTREAM_URL; the flag takes
+// precedence. All settings are checked together, and one message lists all faults.
 //
 // # Usage
 //
@@ -28,13 +27,13 @@
 	"github.com/gladegauge/gladegauge/internal/core/config"
 )
 
-// EnvPrefix starts the name of each environment variable.
+// EnvPrefix is the prefix of the names of environment variables.
 const EnvPrefix = "GLADEGAUGE"
 
-// Check returns what is wrong with a value, or an empty string.
+// Check returns a description of what is wrong with a value, or an empty string.
 type Check func(value string) string
 
-// Set is the settings of one program.
+// Set is the set of settings of one program.
 type Set struct {
 	flags   *flag.FlagSet
 	checks  map[string][]Check
@@ -43,7 +42,7 @@
 	order   []string
 }
 
-// New returns a set over the flags of a command.
+// New returns a set that declares its settings as flags of f.
 func New(f *flag.FlagSet) *Set {
 	return &Set{
 		flags:   f,
@@ -53,50 +52,50 @@
 	}
 }
 
-func (s *Set) note(name string, checks []Check) {
+func (s *Set) addChecks(name string, checks []Check) {
 	s.order = append(s.order, name)
 	s.checks[name] = checks
 }
 
-// String declares a text.
+// String declares a string setting.
 func (s *Set) String(p *string, name, value, usage string, checks ...Check) {
 	s.flags.StringVar(p, name, value, usage)
-	s.note(name, checks)
+	s.addChecks(name, checks)
 }
 
-// Secret declares a text that is never printed.
+// Secret declares a string setting whose value is never printed.
 func (s *Set) Secret(p *string, name, usage string, checks ...Check) {
 	s.String(p, name, "", usage, checks...)
 	s.secrets[name] = true
 }
 
-// Int declares a whole number.
+// Int declares an integer setting.
 func (s *Set) Int(p *int, name string, value int, usage string, checks ...Check) {
 	s.flags.IntVar(p, name, value, usage)
-	s.note(name, checks)
+	s.addChecks(name, checks)
 }
 
-// Bool declares a switch.
+// Bool declares a boolean setting.
 func (s *Set) Bool(p *bool, name string, value bool, usage string) {
 	s.flags.BoolVar(p, name, value, usage)
-	s.note(name, nil)
+	s.addChecks(name, nil)
 }
 
-// Duration declares a time such as 1.5s.
+// Duration declares a duration setting, such as 1.5s.
 func (s *Set) Duration(p *time.Duration, name string, value time.Duration, usage string, checks ...Check) {
 	s.flags.DurationVar(p, name, value, usage)
-	s.note(name, checks)
+	s.addChecks(name, checks)
 }
 
-// Load reads the environment for settings that no flag gave, and checks all.
+// Load reads the settings that no flag has set from the environment, and checks all settings.
 func (s *Set) Load() config.Faults {
 	var faults config.Faults
-	s.mark("flag")
+	s.recordSource("flag")
 	if err := ff.Parse(s.flags, nil, ff.WithEnvVarPrefix(EnvPrefix)); err != nil {
 		faults.Add("environment", "%v", err)
 		return faults
 	}
-	s.mark("environment")
+	s.recordSource("environment")
 	for _, name := range s.order {
 		for _, check := range s.checks[name] {
 			if problem := check(s.flags.Lookup(name).Value.String()); problem != "" {
@@ -107,8 +106,8 @@
 	return faults
 }
 
-// mark notes the source of the flags that were set since the last call.
-func (s *Set) mark(source string) {
+// recordSource records the source of the flags that were set since the previous call.
+func (s *Set) recordSource(source string) {
 	s.flags.Visit(func(f *flag.Flag) {
 		if _, known := s.sources[f.Name]; !known {
 			s.sources[f.Name] = source
@@ -116,12 +115,12 @@
 	})
 }
 
-// EnvName returns the environment variable of a flag.
+// EnvName returns the name of a flag's environment variable.
 func EnvName(flagName string) string {
 	return EnvPrefix + "_" + strings.ToUpper(strings.ReplaceAll(flagName, "-", "_"))
 }
 
-// Print writes each setting with its value and source; secrets are masked.
+// Print writes a table of the settings with their values and sources; secrets are masked.
 func (s *Set) Print(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "SETTING\tENVIRONMENT\tVALUE\tSOURCE\tMEANING")
@@ -142,7 +141,7 @@
 // Names returns the names of the settings in order of declaration.
 func (s *Set) Names() []string { return slices.Clone(s.order) }
 
-// Required refuses an empty value.
+// Required is a Check that rejects an empty value.
 func Required(value string) string {
 	if value == "" {
 		return "must be set"
@@ -150,15 +149,15 @@
 	return ""
 }
 
-// Name refuses what cannot be an identity or a zone.
+// Name is a Check that rejects values that cannot be an ID or a zone.
 func Name(value string) string {
 	if strings.ContainsAny(value, "./ \t\n") {
-		return fmt.Sprintf("%q must not hold '.', '/' or spaces", value)
+		return fmt.Sprintf("%q must not contain '.', '/' or spaces", value)
 	}
 	return ""
 }
 
-// AddrPort refuses what is not an IP number and port.
+// AddrPort is a Check that rejects values that are not an IP address and port.
 func AddrPort(value string) string {
 	if value == "" {
 		return ""
@@ -169,7 +168,7 @@
 	return ""
 }
 
-// URL refuses what is not an http or https address.
+// URL is a Check that rejects values that are not an http or https URL.
 func URL(value string) string {
 	if value == "" {
 		return ""
@@ -181,7 +180,7 @@
 	return ""
 }
 
-// File refuses a file that cannot be read.
+// File is a Check that rejects a file that does not exist or cannot be accessed.
 func File(value string) string {
 	if value == "" {
 		return ""
@@ -192,12 +191,12 @@
 	return ""
 }
 
-// OneOf refuses all but the given values.
+// OneOf returns a Check that rejects all but the given values.
 func OneOf(values ...string) Check {
 	return func(value string) string {
 		if slices.Contains(values, value) {
 			return ""
 		}
-		return fmt.Sprintf("%q is none of %s", value, strings.Join(values, ", "))
+		return fmt.Sprintf("%q is not one of %s", value, strings.Join(values, ", "))
 	}
 }
