--- a/cmd/gladegauge-agent/main.go
+++ b/cmd/gladegauge-agent/main.go
@@ -1,4 +1,5 @@
-// Command gladegauge-agent stands before one upstream and is the only way in.
+// Command gladegauge-agent is the proxy of one upstream: all requests to the upstream go
+// through it.
 //
 // # Usage
 //
--- a/cmd/gladegauge-ctl/main.go
+++ b/cmd/gladegauge-ctl/main.go
@@ -1,4 +1,4 @@
-// Command gladegauge-ctl is the operators' tool.
+// Command gladegauge-ctl is the command-line tool for operators.
 //
 // # Usage
 //
--- a/cmd/gladegauge-entry/main.go
+++ b/cmd/gladegauge-entry/main.go
@@ -1,4 +1,4 @@
-// Command gladegauge-entry takes callers' requests and carries them to agents.
+// Command gladegauge-entry accepts callers' requests and forwards them to agents.
 //
 // # Usage
 //
@@ -21,7 +21,7 @@
 const (
 	defaultMaxBody    = 4 << 20
 	defaultDrainGrace = 2 * time.Second
-	// defaultReadPatience outlasts a short stall of a caller's network.
+	// defaultReadPatience tolerates a short stall of a caller's network.
 	defaultReadPatience = 30 * time.Second
 )
 
--- a/cmd/gladegauge-gateway/main.go
+++ b/cmd/gladegauge-gateway/main.go
@@ -1,5 +1,5 @@
-// Command gladegauge-gateway takes callers' requests and calls upstreams
-// itself, without agents beside them.
+// Command gladegauge-gateway accepts callers' requests and sends them to upstreams directly,
+// without agents.
 //
 // # Usage
 //
@@ -27,11 +27,11 @@
 )
 
 const (
-	// memoryShare is the part of the host's limit at which the garbage
-	// collector works harder, so that the process is never killed for memory.
+	// memoryShare is the garbage collector's soft memory limit as a fraction of the host's
+	// limit. It keeps the process from being killed for exceeding the latter.
 	memoryShare = 0.7
-	// collectAt is the garbage collector's target in percent of live data.
-	// Memory is dear on the hosts of entries, and their live data is small.
+	// collectAt is the garbage collector's target in percent of the live heap. Memory is
+	// scarce on the hosts of entries, and their live heap is small.
 	collectAt = 50
 	// maxPort is the highest port number.
 	maxPort = 65535
@@ -39,7 +39,7 @@
 
 // options are the settings of the command.
 type options struct {
-	// path is of the platform's settings file; settings is what it says.
+	// path is the path of the platform's settings file; settings is its content.
 	path        string
 	settings    platform.Settings
 	logLevel    string
@@ -77,7 +77,7 @@
 	return append(f, more...)
 }
 
-// run carries the gateway from start to stop and returns the exit code.
+// run runs the gateway until it stops and returns the exit code.
 func run(ctx context.Context, o *options) int {
 	debug.SetGCPercent(collectAt)
 	if limit := o.settings.MemoryBytes; limit > 0 {
@@ -102,7 +102,7 @@
 	return code
 }
 
-// newLogger returns a logger that names this host.
+// newLogger returns a logger that adds the name of this host to each line.
 func newLogger(out *logging.Bounded, o *options) zerolog.Logger {
 	zerolog.TimeFieldFormat = time.RFC3339Nano
 	level, err := zerolog.ParseLevel(o.logLevel)
@@ -112,11 +112,12 @@
 	return zerolog.New(out).Level(level).With().Timestamp().Str("host", o.settings.Host).Logger()
 }
 
-// serve runs the gateway until a signal to stop, and takes changed settings.
+// serve runs the gateway until it receives a signal to stop. SIGHUP reloads the settings.
 func serve(ctx context.Context, s *gatewayd.Server, log zerolog.Logger) int {
 	stop, cancel := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	defer cancel()
-	// After the first signal the next one ends the process at once.
+	// After the first signal, the default handler is restored, so that the next one ends the
+	// process at once.
 	context.AfterFunc(stop, cancel)
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
