--- a/internal/edge/clock/clock.go
+++ b/internal/edge/clock/clock.go
@@ -68,7 +68,7 @@
 func New() *Clock {
 	start := time.Now()
 	wall := start.Round(0)
-	return From(Sources{
+	return NewFrom(Sources{
 		Start: wall,
 		Read: func() (time.Duration, time.Duration) {
 			t := time.Now()
@@ -78,8 +78,8 @@
 	})
 }
 
-// From returns a clock that reads the given sources.
-func From(s Sources) *Clock {
+// NewFrom returns a clock that reads the given sources.
+func NewFrom(s Sources) *Clock {
 	c := &Clock{sources: s}
 	// Without a boot time the clock follows the monotonic clock, and suspensions do not
 	// count.
--- a/internal/edge/clock/clock_test.go
+++ b/internal/edge/clock/clock_test.go
@@ -53,7 +53,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			h := &host{boot: time.Hour}
-			c := From(h.sources())
+			c := NewFrom(h.sources())
 			before := c.Now()
 			tt.then(h)
 			is.Equal(c.Now().Sub(before), tt.want)
@@ -81,7 +81,7 @@
 		}
 		return answer, nil
 	}
-	c = From(s)
+	c = NewFrom(s)
 	before := s.Start
 	h.advance(bootReadInterval)
 	c.Now()
@@ -93,7 +93,7 @@
 func TestSystemCalls(t *testing.T) {
 	is := is.New(t)
 	h := &host{}
-	c := From(h.sources())
+	c := NewFrom(h.sources())
 	for range 1000 {
 		h.advance(time.Millisecond)
 		c.Now()
--- a/internal/edge/entryd/suspects.go
+++ b/internal/edge/entryd/suspects.go
@@ -57,10 +57,10 @@
 // underEnd notes that the agent's upstream ended under the request. It runs in the
 // control loop.
 func (x *call) underEnd(now time.Time, a *attempt, f *gladegaugev1.Failed) {
-	if f.GetEndedStart() == 0 || (!x.first.IsZero() && now.Sub(x.first) >= suspects.SoundFor) {
+	if f.GetEndedStart() == 0 || (!x.first.IsZero() && now.Sub(x.first) >= suspects.HarmlessAfter) {
 		return
 	}
-	x.s.sync.EndedUnder(suspects.Lost{
+	x.s.sync.ReportCrash(suspects.Failure{
 		Print: x.printed(), Request: x.id, Organisation: x.call.Organisation.Name,
 		Start: f.GetEndedStart(), Upstream: a.agent, At: now, Ran: now.Sub(x.claimedAt),
 	})
@@ -77,7 +77,7 @@
 		x.s.sync.Suspects().Release(x.printed())
 	}
 	if x.answered() {
-		x.s.sync.Suspects().Clear(now, x.printed(), x.id)
+		x.s.sync.Suspects().ReportSuccess(now, x.printed(), x.id)
 	}
 }
 
--- a/internal/edge/exchange/exchange.go
+++ b/internal/edge/exchange/exchange.go
@@ -7,7 +7,7 @@
 // # Usage
 //
 //	c := exchange.New(options)
-//	a, err := c.Do(ctx, exchange.Call{Address: address, Request: req, Own: func(r *http.Response) bool { … }})
+//	a, err := c.Do(ctx, exchange.Call{Address: address, Request: req, Matches: func(r *http.Response) bool { … }})
 //	var lost *exchange.LostError
 //	if errors.As(err, &lost) { … } // it may have run
 //	defer a.Close()
@@ -45,8 +45,8 @@
 	// KeepFor returns how long the upstream keeps an idle connection open, from the headers
 	// of its response; 0 if the upstream does not state it.
 	KeepFor func(h http.Header) time.Duration
-	// Opened is called for each new connection.
-	Opened func()
+	// OnConnect is called for each new connection.
+	OnConnect func()
 	// Clock returns the present time.
 	Clock func() time.Time
 }
@@ -73,15 +73,15 @@
 type Call struct {
 	Address string
 	Request *http.Request
-	// Own reports whether a response belongs to the request.
-	Own func(*http.Response) bool
-	// Seen is called with the head of each response on the connection, including interim
-	// responses and those to other requests. It may be nil.
-	Seen func(*http.Response)
-	// May is called once there is a connection, before the first byte is written. If it
-	// returns false, the call fails with ErrWithheld. If it is nil, the request is always
+	// Matches reports whether a response belongs to the request.
+	Matches func(*http.Response) bool
+	// OnResponse is called with the head of each response on the connection, including
+	// interim responses and those to other requests. It may be nil.
+	OnResponse func(*http.Response)
+	// Permitted is called once there is a connection, before the first byte is written. If
+	// it returns false, the call fails with ErrWithheld. If it is nil, the request is always
 	// sent.
-	May func() bool
+	Permitted func() bool
 }
 
 // Do sends the request and waits for the head of its response. The connection is closed
@@ -91,7 +91,7 @@
 	if err != nil {
 		return nil, &UnsentError{Cause: err}
 	}
-	if call.May != nil && !call.May() {
+	if call.Permitted != nil && !call.Permitted() {
 		_ = cn.Close()
 		return nil, &UnsentError{Cause: ErrWithheld}
 	}
@@ -152,13 +152,13 @@
 		if err != nil {
 			return nil, errors.WithStack(err)
 		}
-		if call.Seen != nil {
-			call.Seen(resp)
+		if call.OnResponse != nil {
+			call.OnResponse(resp)
 		}
 		if resp.StatusCode >= 100 && resp.StatusCode < 200 {
 			continue
 		}
-		if call.Own(resp) {
+		if call.Matches(resp) {
 			return resp, nil
 		}
 		_, err = io.Copy(io.Discard, resp.Body)
--- a/internal/edge/exchange/exchange_test.go
+++ b/internal/edge/exchange/exchange_test.go
@@ -114,9 +114,9 @@
 func client(c *fakeClock) (*Client, *int) {
 	opened := 0
 	return New(Options{
-		KeepFor: func(http.Header) time.Duration { return 0 },
-		Opened:  func() { opened++ },
-		Clock:   func() time.Time { return c.now },
+		KeepFor:   func(http.Header) time.Duration { return 0 },
+		OnConnect: func() { opened++ },
+		Clock:     func() time.Time { return c.now },
 	}), &opened
 }
 
@@ -129,7 +129,7 @@
 	req.ContentLength = int64(len(body))
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	a, err := c.Do(ctx, Call{Address: address, Request: req, Own: isMine})
+	a, err := c.Do(ctx, Call{Address: address, Request: req, Matches: isMine})
 	if err != nil {
 		return "", err
 	}
@@ -280,7 +280,7 @@
 		return nil
 	})
 	req := &http.Request{Method: http.MethodGet, URL: &url.URL{Opaque: "/"}, Host: "h", Header: http.Header{}}
-	_, err = c.Do(ctx, Call{Address: l.Addr().String(), Request: req, Own: isMine})
+	_, err = c.Do(ctx, Call{Address: l.Addr().String(), Request: req, Matches: isMine})
 	var lost *LostError
 	is.True(errors.As(err, &lost))
 	is.True(errors.Is(err, context.Canceled))
@@ -297,14 +297,14 @@
 	cl := &fakeClock{now: time.Unix(1000, 0)}
 	opened := 0
 	c := New(Options{
-		KeepFor: func(http.Header) time.Duration { return time.Minute },
-		Opened:  func() { opened++ },
-		Clock:   func() time.Time { return cl.now },
+		KeepFor:   func(http.Header) time.Duration { return time.Minute },
+		OnConnect: func() { opened++ },
+		Clock:     func() time.Time { return cl.now },
 	})
 	call := func(pause time.Duration) error {
 		cl.now = cl.now.Add(pause)
 		req := &http.Request{Method: http.MethodGet, URL: &url.URL{Path: "/"}, Host: "h", Header: http.Header{}}
-		a, err := c.Do(context.Background(), Call{Address: u.l.Addr().String(), Request: req, Own: func(*http.Response) bool { return true }})
+		a, err := c.Do(context.Background(), Call{Address: u.l.Addr().String(), Request: req, Matches: func(*http.Response) bool { return true }})
 		if err != nil {
 			return err
 		}
--- a/internal/edge/exchange/pool.go
+++ b/internal/edge/exchange/pool.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	c.o.Opened()
+	c.o.OnConnect()
 	return &conn{Conn: nc, address: address, br: bufio.NewReaderSize(nc, bufferBytes)}, nil
 }
 
--- a/internal/edge/gatewayd/attempt.go
+++ b/internal/edge/gatewayd/attempt.go
@@ -23,11 +23,11 @@
 	x.patience = x.newPatience(choice, cancel)
 	defer x.patience.stop()
 	got, err := x.server.client.Do(ctx, exchange.Call{
-		Address: choice.Address,
-		Request: x.upstreamRequest(choice, x.sentAt),
-		Own:     x.owns,
-		Seen:    func(r *http.Response) { x.notice(choice, r) },
-		May:     func() bool { return x.may(choice) },
+		Address:    choice.Address,
+		Request:    x.upstreamRequest(choice, x.sentAt),
+		Matches:    x.owns,
+		OnResponse: func(r *http.Response) { x.notice(choice, r) },
+		Permitted:  func() bool { return x.may(choice) },
 	})
 	if err != nil {
 		failure := x.failureOf(ctx, err)
@@ -95,7 +95,7 @@
 			x.server.foundEnded(now, choice.Instance, o)
 		}
 		if survived {
-			x.server.suspects.Clear(now, x.printed(), x.call.ID)
+			x.server.suspects.ReportSuccess(now, x.printed(), x.call.ID)
 		}
 		x.server.table.Ended(now, choice, o, balance.Answer{Tokens: tokens, LongestGap: x.longestGap, Load: load})
 		if load != nil {
--- a/internal/edge/gatewayd/meters.go
+++ b/internal/edge/gatewayd/meters.go
@@ -12,7 +12,7 @@
 
 // family is that of the gateway. Its times are in seconds, from a short call to
 // a long stream.
-var family = metrics.Family{
+var family = metrics.Factory{
 	Namespace: "gladegauge_gateway",
 	Buckets:   []float64{0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2, 4, 8, 16},
 }
--- a/internal/edge/gatewayd/server.go
+++ b/internal/edge/gatewayd/server.go
@@ -109,7 +109,7 @@
 	// suspects are the requests under which upstreams ended, and lost those that broke
 	// off a moment ago.
 	suspects *suspects.Book
-	lost     []suspects.Lost
+	lost     []suspects.Failure
 	feed     *feed.Feed
 	// written is the configuration as the store held it when it was read here last,
 	// settling the time in which a store that came back from a copy proves nothing.
@@ -162,9 +162,9 @@
 	s.addresses.Store(&map[string]bool{})
 	s.closed.Store(&notice.Closed{})
 	s.client = exchange.New(exchange.Options{
-		KeepFor: func(h http.Header) time.Duration { return platform.DecodeAnswer(0, h).KeepFor },
-		Opened:  func() { s.metrics.connections.Inc() },
-		Clock:   s.now,
+		KeepFor:   func(h http.Header) time.Duration { return platform.DecodeAnswer(0, h).KeepFor },
+		OnConnect: func() { s.metrics.connections.Inc() },
+		Clock:     s.now,
 	})
 	return s
 }
--- a/internal/edge/gatewayd/suspects.go
+++ b/internal/edge/gatewayd/suspects.go
@@ -65,7 +65,7 @@
 
 // ranForLong reports whether the stream of the present attempt had gone on for long.
 func (x *request) ranForLong() bool {
-	return !x.firstAt.IsZero() && x.server.now().Sub(x.firstAt) >= suspects.SoundFor
+	return !x.firstAt.IsZero() && x.server.now().Sub(x.firstAt) >= suspects.HarmlessAfter
 }
 
 // lostAt looks whether the upstream ended under the request, and returns what may be
@@ -75,7 +75,7 @@
 		return suspect.Free
 	}
 	s := x.server
-	lost := suspects.Lost{
+	lost := suspects.Failure{
 		Print: x.printed(), Request: x.call.ID, Organisation: x.organisation(),
 		Start: c.Start(), Upstream: c.ID, Ran: s.now().Sub(x.sentAt),
 	}
@@ -114,10 +114,10 @@
 			Stringer("outcome", o).Msg("upstream has ended")
 	}
 	start := in.Start()
-	s.lost = slices.DeleteFunc(s.lost, func(l suspects.Lost) bool {
+	s.lost = slices.DeleteFunc(s.lost, func(l suspects.Failure) bool {
 		old := now.Sub(l.At) > lostFor
 		if l.Start == start && !old {
-			s.suspects.EndedUnder(l)
+			s.suspects.ReportCrash(l)
 		}
 		return l.Start == start || old
 	})
--- a/internal/edge/metrics/metrics.go
+++ b/internal/edge/metrics/metrics.go
@@ -9,7 +9,7 @@
 //	m := metrics.New(prometheus.NewRegistry())
 //	m.Requests.WithLabelValues("counter", "completed").Inc()
 //
-//	f := metrics.Family{Namespace: "gladegauge_gateway", Buckets: buckets}
+//	f := metrics.Factory{Namespace: "gladegauge_gateway", Buckets: buckets}
 //	resumes := f.Counter("resumes_total", "Streams taken up by another upstream.")
 package metrics
 
@@ -20,7 +20,7 @@
 
 // factory creates the metrics of entries and agents. Its buckets, in seconds, cover times
 // from a first token to a long answer.
-var factory = Family{
+var factory = Factory{
 	Namespace: "gladegauge",
 	Buckets:   []float64{0.01, 0.05, 0.1, 0.25, 0.47, 0.75, 1, 1.5, 2, 3, 5, 10, 30, 60, 300, 600},
 }
--- a/internal/edge/spread/suspects.go
+++ b/internal/edge/spread/suspects.go
@@ -11,10 +11,10 @@
 // Any, it must be used in the control loop only.
 func (s *Sync) Suspects() *suspects.Book { return s.suspects }
 
-// EndedUnder records that an upstream crashed while running the request, and notifies the
+// ReportCrash records that an upstream crashed while running the request, and notifies the
 // peers at once. It runs in the control loop.
-func (s *Sync) EndedUnder(l suspects.Lost) {
-	s.suspects.EndedUnder(l)
+func (s *Sync) ReportCrash(f suspects.Failure) {
+	s.suspects.ReportCrash(f)
 	s.notifyPeers()
 }
 
--- a/internal/edge/suspects/book.go
+++ b/internal/edge/suspects/book.go
@@ -25,10 +25,10 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// SoundFor is the time from the first event of a stream after which its request counts as
-// harmless. Upstreams crashed 30 to 250 ms after they began to run the request that was the
-// cause.
-const SoundFor = 2 * time.Second
+// HarmlessAfter is the time from the first event of a stream after which its request counts
+// as harmless. Upstreams crashed 30 to 250 ms after they began to run the request that was
+// the cause.
+const HarmlessAfter = 2 * time.Second
 
 // ProbeTimeout bounds the probe whether an upstream that closed a connection still listens.
 // Its host is up, so it responds within a round trip.
@@ -52,8 +52,8 @@
 // to be computed. Any is safe for concurrent use.
 func (b *Book) Any() bool { return b.known.Load() > 0 }
 
-// Lost is a request that failed at an upstream without a complete response.
-type Lost struct {
+// Failure is a request that failed at an upstream without a complete response.
+type Failure struct {
 	Print suspect.Print
 	// Request is the request's ID, for logs.
 	Request      string
@@ -66,18 +66,18 @@
 	Ran time.Duration
 }
 
-// EndedUnder records that an upstream crashed while running the request.
-func (b *Book) EndedUnder(l Lost) {
-	b.RecordCrash(l.At, l.Print, l.Start, l.Ran)
+// ReportCrash records that an upstream crashed while running the request.
+func (b *Book) ReportCrash(f Failure) {
+	b.RecordCrash(f.At, f.Print, f.Start, f.Ran)
 	b.count()
-	b.log.Warn().Str("request", l.Request).Stringer("print", l.Print).Str("upstream", l.Upstream).
-		Str("organisation", l.Organisation).Dur("ran", l.Ran).
-		Int("ends", b.Crashes(l.Print)).Stringer("verdict", b.Check(l.At, l.Print)).
+	b.log.Warn().Str("request", f.Request).Stringer("print", f.Print).Str("upstream", f.Upstream).
+		Str("organisation", f.Organisation).Dur("ran", f.Ran).
+		Int("ends", b.Crashes(f.Print)).Stringer("verdict", b.Check(f.At, f.Print)).
 		Msg("upstream crashed while running a request")
 }
 
-// Clear records that the request was answered, or ran for long enough.
-func (b *Book) Clear(now time.Time, p suspect.Print, request string) {
+// ReportSuccess records that the request was answered, or ran for long enough.
+func (b *Book) ReportSuccess(now time.Time, p suspect.Print, request string) {
 	if b.RecordSuccess(now, p) {
 		b.log.Info().Str("request", request).Stringer("print", p).Msg("suspect: cleared")
 	}
