--- a/internal/edge/clock/clock.go
+++ b/internal/edge/clock/clock.go
@@ -93,12 +93,12 @@
 // Now returns the current time.
 func (c *Clock) Now() time.Time {
 	monotonic, wall := c.sources.Read()
-	l := c.latest.Load()
-	drift := (wall - monotonic) - (l.wall - l.monotonic)
-	if monotonic-l.monotonic >= bootReadInterval || drift > maxDrift || drift < -maxDrift {
-		l = c.sample(l)
+	s := c.latest.Load()
+	drift := (wall - monotonic) - (s.wall - s.monotonic)
+	if monotonic-s.monotonic >= bootReadInterval || drift > maxDrift || drift < -maxDrift {
+		s = c.sample(s)
 	}
-	return c.sources.Start.Add(monotonic + l.suspended)
+	return c.sources.Start.Add(monotonic + s.suspended)
 }
 
 // Deadline returns the time after the remaining duration on the clock that package net uses.
@@ -111,16 +111,16 @@
 func (c *Clock) sample(before *sample) *sample {
 	boot, err := c.sources.Boot()
 	monotonic, wall := c.sources.Read()
-	l := &sample{monotonic: monotonic, wall: wall}
+	s := &sample{monotonic: monotonic, wall: wall}
 	if err == nil {
-		l.suspended = boot - c.bootAtStart - monotonic
+		s.suspended = boot - c.bootAtStart - monotonic
 	}
 	// Another goroutine may have stored a newer sample meanwhile. Overwriting it with this
 	// one would ignore a suspension in between until the next sample, for 50 ms.
 	for {
-		l.suspended = max(l.suspended, before.suspended)
-		if c.latest.CompareAndSwap(before, l) {
-			return l
+		s.suspended = max(s.suspended, before.suspended)
+		if c.latest.CompareAndSwap(before, s) {
+			return s
 		}
 		before = c.latest.Load()
 	}
--- a/internal/edge/exchange/idle.go
+++ b/internal/edge/exchange/idle.go
@@ -6,8 +6,8 @@
 )
 
 // Parameters of the learned idle limit. Some upstreams drop an idle connection sooner than
-// they announce, and reset the next request on it. Such a request cannot be told from one
-// that ran.
+// they announce, and reset the next request on it. It cannot be determined whether such a
+// request ran.
 const (
 	// idleLimitFactor is the idle limit as a fraction of the idle time after which a
 	// connection was found to be dropped.
