--- a/internal/edge/entryd/suspects.go
+++ b/internal/edge/entryd/suspects.go
@@ -58,10 +58,10 @@
 // recordCrash records that the agent's upstream crashed while running the request. It
 // runs in the control loop.
 func (x *call) recordCrash(now time.Time, a *attempt, f *gladegaugev1.Failed) {
-	if f.GetEndedStart() == 0 || (!x.firstByte.IsZero() && now.Sub(x.firstByte) >= suspects.SoundFor) {
+	if f.GetEndedStart() == 0 || (!x.firstByte.IsZero() && now.Sub(x.firstByte) >= suspects.HarmlessAfter) {
 		return
 	}
-	x.s.sync.EndedUnder(suspects.Lost{
+	x.s.sync.ReportCrash(suspects.Failure{
 		Print: x.fingerprint(), Request: x.id, Organisation: x.call.Organisation.Name,
 		Start: f.GetEndedStart(), Upstream: a.agent, At: now, Ran: now.Sub(x.claimedAt),
 	})
@@ -79,7 +79,7 @@
 		x.s.sync.Suspects().Release(x.fingerprint())
 	}
 	if x.succeeded() {
-		x.s.sync.Suspects().Clear(now, x.fingerprint(), x.id)
+		x.s.sync.Suspects().ReportSuccess(now, x.fingerprint(), x.id)
 	}
 }
 
--- a/internal/edge/gatewayd/server.go
+++ b/internal/edge/gatewayd/server.go
@@ -111,7 +111,7 @@
 	// suspects are the requests that upstreams crashed under, and lost those whose
 	// upstream connection broke recently.
 	suspects *suspects.Book
-	lost     []suspects.Lost
+	lost     []suspects.Failure
 	feed     *feed.Feed
 	// storedConfig is the configuration that was last read from the store itself, and
 	// restoreWindow the time in which a store that was restored from a copy proves
@@ -165,9 +165,9 @@
 	s.addresses.Store(&map[string]bool{})
 	s.closed.Store(&notice.Closed{})
 	s.client = exchange.New(exchange.Options{
-		KeepFor: func(h http.Header) time.Duration { return platform.DecodeAnswer(0, h).KeepFor },
-		Opened:  func() { s.metrics.connections.Inc() },
-		Clock:   s.now,
+		KeepFor:   func(h http.Header) time.Duration { return platform.DecodeAnswer(0, h).KeepFor },
+		OnConnect: func() { s.metrics.connections.Inc() },
+		Clock:     s.now,
 	})
 	return s
 }
--- a/internal/edge/gatewayd/suspects.go
+++ b/internal/edge/gatewayd/suspects.go
@@ -67,7 +67,7 @@
 
 // ranForLong reports whether the stream of the current attempt ran for long.
 func (x *request) ranForLong() bool {
-	return !x.firstAt.IsZero() && x.server.now().Sub(x.firstAt) >= suspects.SoundFor
+	return !x.firstAt.IsZero() && x.server.now().Sub(x.firstAt) >= suspects.HarmlessAfter
 }
 
 // checkLost checks whether the upstream ended while it ran the request, and returns the
@@ -77,7 +77,7 @@
 		return suspect.Free
 	}
 	s := x.server
-	lost := suspects.Lost{
+	lost := suspects.Failure{
 		Print: x.printed(), Request: x.call.ID, Organisation: x.organisation(),
 		Start: c.Start(), Upstream: c.ID, Ran: s.now().Sub(x.sentAt),
 	}
@@ -116,10 +116,10 @@
 			Stringer("outcome", o).Msg("upstream has ended")
 	}
 	start := in.Start()
-	s.lost = slices.DeleteFunc(s.lost, func(l suspects.Lost) bool {
+	s.lost = slices.DeleteFunc(s.lost, func(l suspects.Failure) bool {
 		old := now.Sub(l.At) > lostRetention
 		if l.Start == start && !old {
-			s.suspects.EndedUnder(l)
+			s.suspects.ReportCrash(l)
 		}
 		return l.Start == start || old
 	})
--- a/internal/edge/spread/fleet_test.go
+++ b/internal/edge/spread/fleet_test.go
@@ -28,7 +28,7 @@
 )
 
 // fabric carries HTTP calls between processes in memory, in virtual time.
-type fabric struct {
+type network struct {
 	mu       sync.Mutex
 	handlers map[string]http.Handler
 	// cut reports whether a call from one process to an address is lost.
@@ -36,14 +36,14 @@
 }
 
 // port is one process's way into the fabric.
-type port struct {
-	f    *fabric
+type transport struct {
+	f    *network
 	from string
 }
 
 const oneWay = 2 * time.Millisecond
 
-func (p port) RoundTrip(r *http.Request) (*http.Response, error) {
+func (p transport) RoundTrip(r *http.Request) (*http.Response, error) {
 	p.f.mu.Lock()
 	h, ok := p.f.handlers[r.URL.Host]
 	lost := !ok || (p.f.cut != nil && p.f.cut(p.from, r.URL.Host))
@@ -62,7 +62,7 @@
 	return w.Result(), nil
 }
 
-func (f *fabric) setCut(cut func(from, to string) bool) {
+func (f *network) setCut(cut func(from, to string) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cut = cut
@@ -83,7 +83,7 @@
 type fleet struct {
 	t         *testing.T
 	platform  *published.Service
-	fabric    *fabric
+	network   *network
 	processes []*process
 	zones     []string
 	doc       *gladegaugev1.Configuration
@@ -94,7 +94,7 @@
 
 func newFleet(t *testing.T, perZone int, zones ...string) *fleet {
 	f := &fleet{t: t, platform: published.New(), zones: zones}
-	f.fabric = &fabric{handlers: map[string]http.Handler{platformHost: f.platform}}
+	f.network = &network{handlers: map[string]http.Handler{platformHost: f.platform}}
 	f.doc = &gladegaugev1.Configuration{
 		Revision:      1,
 		Classes:       []*gladegaugev1.Class{{Name: "ruling", Tier: 1, FirstTokenMs: 1000}},
@@ -154,7 +154,7 @@
 }
 
 func (f *fleet) start(n *process, seeds ...string) {
-	client := &http.Client{Transport: port{f: f.fabric, from: n.id}}
+	client := &http.Client{Transport: transport{f: f.network, from: n.id}}
 	l := loop.New(time.Now)
 	m := metrics.New(prometheus.NewRegistry())
 	n.metrics = m
@@ -168,9 +168,9 @@
 	mux := http.NewServeMux()
 	path, h := gladegaugev1connect.NewPeerServiceHandler(n.sync)
 	mux.Handle(path, h)
-	f.fabric.mu.Lock()
-	f.fabric.handlers[f.address(n.id)] = mux
-	f.fabric.mu.Unlock()
+	f.network.mu.Lock()
+	f.network.handlers[f.address(n.id)] = mux
+	f.network.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
 	n.group, ctx = errgroup.WithContext(ctx)
@@ -191,9 +191,9 @@
 }
 
 func (f *fleet) stop(n *process) {
-	f.fabric.mu.Lock()
-	delete(f.fabric.handlers, f.address(n.id))
-	f.fabric.mu.Unlock()
+	f.network.mu.Lock()
+	delete(f.network.handlers, f.address(n.id))
+	f.network.mu.Unlock()
 	n.cancel()
 	_ = n.group.Wait()
 }
@@ -213,7 +213,7 @@
 }
 
 // holds returns the digest in force and the conflicts seen.
-func (n *process) holds() (digest string, conflicts int) {
+func (n *process) digestAndConflicts() (digest string, conflicts int) {
 	n.sync.o.Loop.DoWithoutCancel(func(time.Time) {
 		digest, conflicts = n.sync.holder.Config().Digest(), n.sync.holder.Conflicts()
 	})
@@ -228,14 +228,14 @@
 }
 
 // logged returns the log, read between two steps of the control loop.
-func (n *process) logged() string {
+func (n *process) logText() string {
 	text := ""
 	n.sync.o.Loop.DoWithoutCancel(func(time.Time) { text = n.log.String() })
 	return text
 }
 
 // counted returns the value of a counter without labels.
-func (n *process) counted(name string) float64 {
+func (n *process) counterValue(name string) float64 {
 	families, _ := n.metrics.Registry.Gather()
 	for _, family := range families {
 		if family.GetName() == name {
--- a/internal/gen/gladegauge/v1/gladegaugev1connect/agent.connect.go
+++ b/internal/gen/gladegauge/v1/gladegaugev1connect/agent.connect.go
@@ -41,9 +41,9 @@
 
 // AgentServiceClient is a client for the gladegauge.v1.AgentService service.
 type AgentServiceClient interface {
-	// Attempt carries one attempt: an offer, then at most one run.
+	// Attempt processes one attempt: an offer, followed by at most one run.
 	Attempt(context.Context) *connect.BidiStreamForClient[v1.AttemptCommand, v1.AttemptEvent]
-	// IssueKey gives an idempotency key that only this incarnation honours.
+	// IssueKey issues an idempotency key that is valid for this incarnation only.
 	IssueKey(context.Context, *connect.Request[v1.IssueKeyRequest]) (*connect.Response[v1.IssueKeyResponse], error)
 }
 
@@ -91,9 +91,9 @@
 
 // AgentServiceHandler is an implementation of the gladegauge.v1.AgentService service.
 type AgentServiceHandler interface {
-	// Attempt carries one attempt: an offer, then at most one run.
+	// Attempt processes one attempt: an offer, followed by at most one run.
 	Attempt(context.Context, *connect.BidiStream[v1.AttemptCommand, v1.AttemptEvent]) error
-	// IssueKey gives an idempotency key that only this incarnation honours.
+	// IssueKey issues an idempotency key that is valid for this incarnation only.
 	IssueKey(context.Context, *connect.Request[v1.IssueKeyRequest]) (*connect.Response[v1.IssueKeyResponse], error)
 }
 
--- a/internal/gen/gladegauge/v1/gladegaugev1connect/gateway.connect.go
+++ b/internal/gen/gladegauge/v1/gladegaugev1connect/gateway.connect.go
@@ -47,15 +47,15 @@
 
 // GatewayServiceClient is a client for the gladegauge.v1.GatewayService service.
 type GatewayServiceClient interface {
-	// Exchange swaps what two gateways know of all gateways.
+	// Exchange exchanges what two gateways know about all gateways.
 	Exchange(context.Context, *connect.Request[v1.GatewayExchangeRequest]) (*connect.Response[v1.GatewayExchangeResponse], error)
-	// Follow answers as soon as the callee knows more of the store than the
-	// caller, or when the wait is over.
+	// Follow is a long poll: it returns as soon as the callee knows a newer state of the store
+	// than the caller, or when the wait ends.
 	Follow(context.Context, *connect.Request[v1.FollowRequest]) (*connect.Response[v1.FollowResponse], error)
-	// TellLoads tells what the caller's side has at each upstream, and answers
-	// with what all others have there.
+	// TellLoads reports the load of the caller's side at each upstream, and returns the load of
+	// all others there.
 	TellLoads(context.Context, *connect.Request[v1.TellLoadsRequest]) (*connect.Response[v1.TellLoadsResponse], error)
-	// BorrowTurn asks a holder of a limited upstream for one of its turns.
+	// BorrowTurn asks a gateway that holds turns at a rate-limited upstream for one of them.
 	BorrowTurn(context.Context, *connect.Request[v1.BorrowTurnRequest]) (*connect.Response[v1.BorrowTurnResponse], error)
 }
 
@@ -127,15 +127,15 @@
 
 // GatewayServiceHandler is an implementation of the gladegauge.v1.GatewayService service.
 type GatewayServiceHandler interface {
-	// Exchange swaps what two gateways know of all gateways.
+	// Exchange exchanges what two gateways know about all gateways.
 	Exchange(context.Context, *connect.Request[v1.GatewayExchangeRequest]) (*connect.Response[v1.GatewayExchangeResponse], error)
-	// Follow answers as soon as the callee knows more of the store than the
-	// caller, or when the wait is over.
+	// Follow is a long poll: it returns as soon as the callee knows a newer state of the store
+	// than the caller, or when the wait ends.
 	Follow(context.Context, *connect.Request[v1.FollowRequest]) (*connect.Response[v1.FollowResponse], error)
-	// TellLoads tells what the caller's side has at each upstream, and answers
-	// with what all others have there.
+	// TellLoads reports the load of the caller's side at each upstream, and returns the load of
+	// all others there.
 	TellLoads(context.Context, *connect.Request[v1.TellLoadsRequest]) (*connect.Response[v1.TellLoadsResponse], error)
-	// BorrowTurn asks a holder of a limited upstream for one of its turns.
+	// BorrowTurn asks a gateway that holds turns at a rate-limited upstream for one of them.
 	BorrowTurn(context.Context, *connect.Request[v1.BorrowTurnRequest]) (*connect.Response[v1.BorrowTurnResponse], error)
 }
 
--- a/internal/gen/gladegauge/v1/gladegaugev1connect/operator.connect.go
+++ b/internal/gen/gladegauge/v1/gladegaugev1connect/operator.connect.go
@@ -51,7 +51,7 @@
 	Check(context.Context, *connect.Request[v1.CheckRequest]) (*connect.Response[v1.CheckResponse], error)
 	Explain(context.Context, *connect.Request[v1.ExplainRequest]) (*connect.Response[v1.ExplainResponse], error)
 	Burn(context.Context, *connect.Request[v1.BurnRequest]) (*connect.Response[v1.BurnResponse], error)
-	// Drain stops new work; work in progress completes.
+	// Drain makes the process reject new work; work in progress completes.
 	Drain(context.Context, *connect.Request[v1.DrainRequest]) (*connect.Response[v1.DrainResponse], error)
 }
 
@@ -139,7 +139,7 @@
 	Check(context.Context, *connect.Request[v1.CheckRequest]) (*connect.Response[v1.CheckResponse], error)
 	Explain(context.Context, *connect.Request[v1.ExplainRequest]) (*connect.Response[v1.ExplainResponse], error)
 	Burn(context.Context, *connect.Request[v1.BurnRequest]) (*connect.Response[v1.BurnResponse], error)
-	// Drain stops new work; work in progress completes.
+	// Drain makes the process reject new work; work in progress completes.
 	Drain(context.Context, *connect.Request[v1.DrainRequest]) (*connect.Response[v1.DrainResponse], error)
 }
 
--- a/internal/gen/gladegauge/v1/gladegaugev1connect/peer.connect.go
+++ b/internal/gen/gladegauge/v1/gladegaugev1connect/peer.connect.go
@@ -41,9 +41,9 @@
 
 // PeerServiceClient is a client for the gladegauge.v1.PeerService service.
 type PeerServiceClient interface {
-	// Exchange tells the caller's versions and returns the callee's.
+	// Exchange sends the caller's versions and returns the callee's.
 	Exchange(context.Context, *connect.Request[v1.ExchangeRequest]) (*connect.Response[v1.ExchangeResponse], error)
-	// Fetch returns documents by digest.
+	// Fetch returns the requested documents in force.
 	Fetch(context.Context, *connect.Request[v1.FetchRequest]) (*connect.Response[v1.FetchResponse], error)
 }
 
@@ -91,9 +91,9 @@
 
 // PeerServiceHandler is an implementation of the gladegauge.v1.PeerService service.
 type PeerServiceHandler interface {
-	// Exchange tells the caller's versions and returns the callee's.
+	// Exchange sends the caller's versions and returns the callee's.
 	Exchange(context.Context, *connect.Request[v1.ExchangeRequest]) (*connect.Response[v1.ExchangeResponse], error)
-	// Fetch returns documents by digest.
+	// Fetch returns the requested documents in force.
 	Fetch(context.Context, *connect.Request[v1.FetchRequest]) (*connect.Response[v1.FetchResponse], error)
 }
 
