--- a/internal/edge/gatewayd/attempt.go
+++ b/internal/edge/gatewayd/attempt.go
@@ -16,22 +16,22 @@
 func (x *request) attempt(ctx context.Context, choice balance.Choice) (gateway.Failure, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	x.loadTold = false
+	x.loadRecorded = false
 	x.sentAt = x.server.now()
 	x.headAt = time.Time{}
-	x.firstAt = time.Time{}
-	x.patience = x.newPatience(choice, cancel)
-	defer x.patience.stop()
+	x.firstEventAt = time.Time{}
+	x.timeouts = x.newTimeouts(choice, cancel)
+	defer x.timeouts.stop()
 	got, err := x.server.client.Do(ctx, exchange.Call{
 		Address: choice.Address,
 		Request: x.upstreamRequest(choice, x.sentAt),
 		Own:     x.owns,
-		Seen:    func(r *http.Response) { x.notice(choice, r) },
-		May:     func() bool { return x.may(choice) },
+		Seen:    func(r *http.Response) { x.handleNotice(choice, r) },
+		May:     func() bool { return x.maySend(choice) },
 	})
 	if err != nil {
 		failure := x.failureOf(ctx, err)
-		x.settle(choice, outcomeOf(failure, err), nil)
+		x.finishAttempt(choice, outcomeOf(failure, err), nil)
 		return failure, err
 	}
 	x.headAt = x.server.now()
@@ -44,18 +44,18 @@
 		a.Abort()
 	}
 	load := a.head.Load
-	if x.loadTold {
+	if x.loadRecorded {
 		// It was reported when the answer began, and is old by now.
 		load = nil
 	}
-	x.settle(choice, outcomeOfAnswer(failure, err, a.StatusCode), load)
+	x.finishAttempt(choice, outcomeOfAnswer(failure, err, a.StatusCode), load)
 	return failure, err
 }
 
-// may is the last look before the first byte goes out: while a connection was made, the
-// upstream may have said to others that it leaves, wants rest, or has a limit that this
+// maySend is the last look before the first byte goes out: while a connection was made, the
+// upstream maySend have said to others that it leaves, wants rest, or has a limit that this
 // request has no turn of.
-func (x *request) may(choice balance.Choice) bool {
+func (x *request) maySend(choice balance.Choice) bool {
 	closed := *x.server.closed.Load()
 	if len(closed) == 0 {
 		return true
@@ -64,8 +64,8 @@
 	return !closed.Has(now, choice.Start()) && (choice.Turn || !closed.Limited(now, choice.Start()))
 }
 
-// giveBack takes back a choice that nothing was sent to.
-func (x *request) giveBack(choice balance.Choice) {
+// releaseChoice takes back a choice that nothing was sent to.
+func (x *request) releaseChoice(choice balance.Choice) {
 	x.server.control.Must(func(now time.Time) {
 		x.server.table.Ended(now, choice, balance.Abandoned, balance.Answer{})
 	})
@@ -78,8 +78,8 @@
 	return x.call.ID == "" || a.ID == x.call.ID || (a.ID == "" && !a.Sealed)
 }
 
-// settle tells the control goroutine what became of the attempt.
-func (x *request) settle(choice balance.Choice, o balance.Outcome, load *balance.Load) {
+// finishAttempt tells the control goroutine what became of the attempt.
+func (x *request) finishAttempt(choice balance.Choice, o balance.Outcome, load *balance.Load) {
 	tokens := 0
 	if p, ok := x.view.Table.Pool(x.admission.Pool); ok && p.Engine != nil {
 		tokens = x.events * p.Engine.EventTokens
@@ -88,14 +88,14 @@
 	survived := x.survived(o)
 	if survived {
 		// Not in the control goroutine: it takes some microseconds.
-		x.printed()
+		x.fingerprint()
 	}
 	x.server.control.Must(func(now time.Time) {
 		if o == balance.Dead || o == balance.Replaced {
 			x.server.foundEnded(now, choice.Instance, o)
 		}
 		if survived {
-			x.server.suspects.Clear(now, x.printed(), x.call.ID)
+			x.server.suspects.Clear(now, x.fingerprint(), x.call.ID)
 		}
 		x.server.table.Ended(now, choice, o, balance.Answer{Tokens: tokens, LongestGap: x.longestGap, Load: load})
 		if load != nil {
@@ -104,10 +104,10 @@
 	})
 }
 
-// answerBegan notes the first event of a stream, or the head of another answer.
-func (x *request) answerBegan(a answer) {
-	x.patience.answerBegan()
-	x.loadTold = true
+// answerStarted notes the first event of a stream, or the head of another answer.
+func (x *request) answerStarted(a answer) {
+	x.timeouts.answerStarted()
+	x.loadRecorded = true
 	x.server.control.Must(func(now time.Time) {
 		x.server.table.Began(now, a.choice)
 		if a.head.Load != nil {
--- a/internal/edge/gatewayd/backup_test.go
+++ b/internal/edge/gatewayd/backup_test.go
@@ -84,12 +84,12 @@
 func TestSlowCallerIsNoSilentUpstream(t *testing.T) {
 	is := is.New(t)
 	ended := make(chan struct{}, 1)
-	p := &patience{giveUp: func() { ended <- struct{}{} }, now: time.Now, pauseLimit: time.Hour}
-	p.eventCame()
+	p := &timeouts{cancel: func() { ended <- struct{}{} }, now: time.Now, gapTimeout: time.Hour}
+	p.eventReceived()
 	p.eventSent()
-	p.eventCame()
-	is.True(!p.pause.timer.Stop()) // nothing runs while the event is on its way to the caller
-	p.pauseLimit = time.Millisecond
+	p.eventReceived()
+	is.True(!p.gap.timer.Stop()) // nothing runs while the event is on its way to the caller
+	p.gapTimeout = time.Millisecond
 	p.eventSent()
 	<-ended // now it is silent
 	p.stop()
@@ -113,9 +113,9 @@
 	}{
 		{name: "silence", gives: limit},
 		{name: "stood still for less than the wait", still: limit / 4, gives: limit},
-		{name: "stood still beyond the wait", still: 2 * limit, gives: limit/2 + 2*limit + readAgain},
+		{name: "stood still beyond the wait", still: 2 * limit, gives: limit/2 + 2*limit + resumeGrace},
 		{name: "stood still, and an event came", still: 2 * limit, comes: true},
-		{name: "suspended", still: 2 * limit, suspended: true, gives: limit + readAgain},
+		{name: "suspended", still: 2 * limit, suspended: true, gives: limit + resumeGrace},
 		{name: "suspended, and an event came", still: 2 * limit, suspended: true, comes: true},
 	}
 	for _, tt := range tests {
@@ -133,7 +133,7 @@
 					}
 					return time.Now()
 				}
-				p := &patience{giveUp: func() { ended.Store(int64(time.Since(began))) }, now: clock, pauseLimit: limit}
+				p := &timeouts{cancel: func() { ended.Store(int64(time.Since(began))) }, now: clock, gapTimeout: limit}
 				p.eventSent()
 				time.Sleep(limit / 2)
 				if !tt.suspended {
@@ -142,8 +142,8 @@
 					<-running
 				}
 				if tt.comes {
-					time.Sleep(readAgain / 2)
-					p.eventCame()
+					time.Sleep(resumeGrace / 2)
+					p.eventReceived()
 				}
 				time.Sleep(time.Second)
 				is.Equal(time.Duration(ended.Load()), tt.gives)
--- a/internal/edge/gatewayd/body.go
+++ b/internal/edge/gatewayd/body.go
@@ -11,24 +11,24 @@
 	"github.com/gladegauge/gladegauge/internal/core/gateway"
 )
 
-// keepBodyBytes is the largest body that is kept for another attempt.
-const keepBodyBytes = 64 << 10
+// maxReplayBody is the largest body that is buffered for another attempt.
+const maxReplayBody = 64 << 10
 
-// body is the caller's body: the part that was kept, and what follows it.
+// body is the caller's body: the part that was buffered, and what follows it.
 type body struct {
-	kept []byte
-	// rest is nil if the whole body was kept.
+	buffered []byte
+	// rest is nil if the whole body was buffered.
 	rest io.Reader
 	// length is in bytes; below 0 if the caller did not say.
 	length int64
 }
 
-// reader reads the body from its beginning, as far as it was kept.
+// reader reads the body from its beginning, as far as it was buffered.
 func (b body) reader() io.ReadCloser {
 	if b.rest == nil {
-		return io.NopCloser(bytes.NewReader(b.kept))
+		return io.NopCloser(bytes.NewReader(b.buffered))
 	}
-	return io.NopCloser(io.MultiReader(bytes.NewReader(b.kept), b.rest))
+	return io.NopCloser(io.MultiReader(bytes.NewReader(b.buffered), b.rest))
 }
 
 // readBody keeps a small body, so that it can be sent again.
@@ -39,7 +39,7 @@
 	}
 	// A caller that stops sending is not waited for beyond its request's time.
 	conn := http.NewResponseController(x.w)
-	_ = conn.SetReadDeadline(x.steady(x.admission.Deadline))
+	_ = conn.SetReadDeadline(x.connDeadline(x.admission.Deadline))
 	limit := x.view.Table.Limits.BodyBytes
 	if limit > 0 {
 		x.r.Body = http.MaxBytesReader(x.w, x.r.Body, limit)
@@ -48,7 +48,7 @@
 		return gateway.Body(true)
 	}
 	x.body.length = x.r.ContentLength
-	kept, err := io.ReadAll(io.LimitReader(x.r.Body, keepBodyBytes+1))
+	buffered, err := io.ReadAll(io.LimitReader(x.r.Body, maxReplayBody+1))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
@@ -59,9 +59,9 @@
 	// The deadline is lifted again: it would also end the wait for the caller's
 	// leave, and with it the request.
 	_ = conn.SetReadDeadline(time.Time{})
-	x.body.kept = kept
-	if len(kept) <= keepBodyBytes {
-		x.body.length = int64(len(kept))
+	x.body.buffered = buffered
+	if len(buffered) <= maxReplayBody {
+		x.body.length = int64(len(buffered))
 		return nil
 	}
 	x.body.rest = x.r.Body
--- a/internal/edge/gatewayd/event.go
+++ b/internal/edge/gatewayd/event.go
@@ -13,8 +13,8 @@
 // maxEventBytes bounds one event.
 const maxEventBytes = 1 << 20
 
-// readers keeps buffers for the next streams.
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 4<<10) }}
+// readerPool keeps buffers for the next streams.
+var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 4<<10) }}
 
 // event is one whole event of a stream, as it was written.
 type event struct {
--- a/internal/edge/gatewayd/forward.go
+++ b/internal/edge/gatewayd/forward.go
@@ -17,7 +17,7 @@
 		Organisation: x.organisation(),
 		Left:         x.admission.Deadline.Sub(now),
 		Urgency:      x.admission.Urgency,
-		LastEvent:    x.lastEvent,
+		LastEvent:    x.lastEventID,
 		FetchFrom:    choice.FetchFrom,
 		BackupAt:     choice.Backup.Address,
 	}
@@ -26,7 +26,7 @@
 	}
 	req := &http.Request{
 		Method: x.r.Method,
-		URL:    targetOf(x.r),
+		URL:    upstreamURL(x.r),
 		Host:   x.r.Host,
 		Header: platform.UpstreamHeader(x.r.Header, f),
 	}
@@ -37,8 +37,8 @@
 	return req
 }
 
-// targetOf keeps the caller's path and query as they were written.
-func targetOf(r *http.Request) *url.URL {
+// upstreamURL keeps the caller's path and query as they were written.
+func upstreamURL(r *http.Request) *url.URL {
 	if strings.HasPrefix(r.RequestURI, "/") && !strings.HasPrefix(r.RequestURI, "//") {
 		return &url.URL{Opaque: r.RequestURI}
 	}
--- a/internal/edge/gatewayd/lend.go
+++ b/internal/edge/gatewayd/lend.go
@@ -20,9 +20,9 @@
 func (x *request) borrow() (balance.Choice, bool) {
 	s := x.server
 	var loans []balance.BorrowCandidate
-	s.control.Must(func(now time.Time) { loans = s.table.Borrowable(now, x.wants()) })
+	s.control.Must(func(now time.Time) { loans = s.table.Borrowable(now, x.balanceRequest()) })
 	for _, l := range loans {
-		if x.left() <= borrowTimeout {
+		if x.remaining() <= borrowTimeout {
 			break
 		}
 		granted, err := x.borrowOf(l)
@@ -35,7 +35,7 @@
 		}
 		var choice balance.Choice
 		var ok bool
-		s.control.Must(func(now time.Time) { choice, ok = s.table.PickBorrowed(now, x.wants(), l.Instance) })
+		s.control.Must(func(now time.Time) { choice, ok = s.table.PickBorrowed(now, x.balanceRequest(), l.Instance) })
 		if ok {
 			return choice, true
 		}
@@ -55,7 +55,7 @@
 	}
 	ctx, cancel := context.WithTimeout(x.r.Context(), borrowTimeout)
 	defer cancel()
-	req := &gladegaugev1.BorrowTurnRequest{Upstream: l.Start(), Least: x.wants().Least}
+	req := &gladegaugev1.BorrowTurnRequest{Upstream: l.Start(), Least: x.balanceRequest().Least}
 	resp, err := s.peer(holder).BorrowTurn(ctx, connect.NewRequest(req))
 	s.metrics.peerCall("borrow_turn", err)
 	if err != nil {
--- a/internal/edge/gatewayd/notice.go
+++ b/internal/edge/gatewayd/notice.go
@@ -13,20 +13,20 @@
 // Kinds of notices in metrics.
 const (
 	noticeLeaving = "leaving"
-	noticeRest    = "rest"
+	noticeBackoff    = "rest"
 	noticeLimit   = "limit"
-	noticeUnread  = "unread"
-	// noticeNobody is of words that name no start that is listed.
-	noticeNobody = "nobody"
+	noticeUnparsed  = "unread"
+	// noticeUnknownStart is of words that name no start that is listed.
+	noticeUnknownStart = "nobody"
 )
 
-// unreadMost bounds what a log line shows of a word that could not be read.
-const unreadMost = 60
+// maxLoggedText bounds what a log line shows of a word that could not be read.
+const maxLoggedText = 60
 
-// notice takes what the head of an answer says of its upstream. It is shown each head
+// handleNotice takes what the head of an answer says of its upstream. It is shown each head
 // that comes: those of refusals and errors, and of answers to other requests. The platform's
 // list may tell of them many seconds later, or never.
-func (x *request) notice(choice balance.Choice, r *http.Response) {
+func (x *request) handleNotice(choice balance.Choice, r *http.Response) {
 	n := platform.DecodeNotice(r.StatusCode, r.Header)
 	s := x.server
 	if !n.Any() && !(*s.closed.Load()).LimitReported(choice.Start()) {
@@ -52,21 +52,21 @@
 			Str("address", choice.Address).Int("status", r.StatusCode)
 	}
 	if said.Of.ID == "" && n.Any() {
-		line(noticeNobody).Str("sent_to", choice.ID).Str("named", n.Of).Msg("a word of nobody that is listed")
+		line(noticeUnknownStart).Str("sent_to", choice.ID).Str("named", n.Of).Msg("a word of nobody that is listed")
 	}
 	if said.NewlyLeaving {
 		line(noticeLeaving).Msg("upstream says that it leaves")
 	}
 	if said.BackoffExtended {
 		rest := said.State.BackoffUntil().Sub(s.now())
-		line(noticeRest).Dur("asked", n.Rest).Dur("rest", rest).Msg("upstream asks for rest")
+		line(noticeBackoff).Dur("asked", n.Rest).Dur("rest", rest).Msg("upstream asks for rest")
 	}
 	if said.LimitChanged {
 		limit := said.State.Announced()
 		line(noticeLimit).Bool("limited", limit.Announced).Float64("per_second", limit.PerSecond).Msg("upstream changes its limit")
 	}
 	if said.NewlyUnreadable {
-		text := n.Unparsed[:min(len(n.Unparsed), unreadMost)]
-		line(noticeUnread).Str("text", text).Msg("upstream says what cannot be read")
+		text := n.Unparsed[:min(len(n.Unparsed), maxLoggedText)]
+		line(noticeUnparsed).Str("text", text).Msg("upstream says what cannot be read")
 	}
 }
--- a/internal/edge/gatewayd/path_test.go
+++ b/internal/edge/gatewayd/path_test.go
@@ -77,7 +77,7 @@
 func TestWhatTheUpstreamGets(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1, func(int, standin.Request) standin.Reply { return standin.Reply{Body: "ok"} })
-	long := strings.Repeat("x", 3*keepBodyBytes)
+	long := strings.Repeat("x", 3*maxReplayBody)
 	ctx := context.Background()
 	a := w.caller.Call(ctx, standin.Request{
 		ID: "r-9", Host: "x.example", URI: "/write/a%2Fb/?q=1&q=%20", Key: "key-a", Tenant: "org-forged",
--- a/internal/edge/gatewayd/pick.go
+++ b/internal/edge/gatewayd/pick.go
@@ -15,27 +15,27 @@
 		if len(x.tried) == 0 {
 			x.server.budget(x.admission.Pool).Request(now)
 		}
-		choice, ok = x.server.table.Pick(now, x.wants())
+		choice, ok = x.server.table.Pick(now, x.balanceRequest())
 	})
 	if !ok && choice.RetryAfter == 0 {
 		choice, ok = x.borrow()
 	}
-	return x.picked(choice, ok)
+	return x.recordChoice(choice, ok)
 }
 
-// fromBackup asks for the engine that keeps a copy of the run's memory.
-func (x *request) fromBackup() (balance.Choice, bool) {
+// pickBackup asks for the engine that keeps a copy of the run's memory.
+func (x *request) pickBackup() (balance.Choice, bool) {
 	var choice balance.Choice
 	var ok bool
 	x.continuing = true
 	x.server.control.Must(func(now time.Time) {
-		choice, ok = x.server.table.Continue(now, x.wants(), x.backup)
+		choice, ok = x.server.table.Continue(now, x.balanceRequest(), x.backup)
 	})
-	return x.picked(choice, ok)
+	return x.recordChoice(choice, ok)
 }
 
-// picked notes a choice.
-func (x *request) picked(choice balance.Choice, ok bool) (balance.Choice, bool) {
+// recordChoice notes a choice.
+func (x *request) recordChoice(choice balance.Choice, ok bool) (balance.Choice, bool) {
 	if ok {
 		x.tried = append(x.tried, choice.ID)
 		x.logPick(choice)
@@ -43,8 +43,8 @@
 	return choice, ok
 }
 
-// wants is the request as the choice of an upstream sees it.
-func (x *request) wants() balance.Request {
+// balanceRequest is the request as the choice of an upstream sees it.
+func (x *request) balanceRequest() balance.Request {
 	route := x.admission.Route
 	return balance.Request{
 		Route:        route.Name,
@@ -59,7 +59,7 @@
 		Exclude:      x.tried,
 		Least:        x.view.Table.IsLeastUrgent(x.admission.Organisation, route, x.admission.Pool),
 		Isolate:      x.progress.Suspect,
-		Hash:         uint64(x.began.UnixNano()),
+		Hash:         uint64(x.startedAt.UnixNano()),
 	}
 }
 
@@ -71,8 +71,8 @@
 	return ""
 }
 
-// spend takes a retry from the budget of the request's pool.
-func (x *request) spend() bool {
+// spendRetry takes a retry from the budget of the request's pool.
+func (x *request) spendRetry() bool {
 	ok := false
 	gateways := 0
 	x.server.control.Must(func(now time.Time) {
--- a/internal/edge/gatewayd/request.go
+++ b/internal/edge/gatewayd/request.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// answerSlack is how long after its deadline a request is still held, so
+	// deadlineGrace is how long after its deadline a request is still held, so
 	// that the upstream's own word on the deadline can come.
-	answerSlack = 50 * time.Millisecond
-	// writeSlack is how much longer a caller may take to read its answer.
-	writeSlack = 2 * time.Second
+	deadlineGrace = 50 * time.Millisecond
+	// writeGrace is how much longer a caller may take to read its answer.
+	writeGrace = 2 * time.Second
 )
 
 // request is one caller's request on its way.
@@ -35,42 +35,42 @@
 	admission gateway.Admission
 	progress  gateway.Progress
 	body      body
-	began     time.Time
+	startedAt     time.Time
 	// tried are the upstreams that were picked.
 	tried []string
 	// backup keeps a copy of the run's memory; the zero value if none does.
 	backup balance.Backup
 	// continuing is true once the run goes on from its copy.
 	continuing bool
-	// lastEvent is the last event of a stream that went to the caller.
-	lastEvent string
+	// lastEventID is the last event of a stream that went to the caller.
+	lastEventID string
 	// events is the number of events that went to the caller.
 	events int
-	// repeated is the number of events that came again, and did not go to the caller.
-	repeated int
+	// duplicateEvents is the number of events that came again, and did not go to the caller.
+	duplicateEvents int
 	// firstByte is the time until the first event, or until the head of another
 	// answer.
 	firstByte time.Duration
 	// longestGap is the longest time between two events from the upstream.
 	longestGap time.Duration
-	// patience is with the upstream of the present attempt.
-	patience *patience
-	// loadTold is true once the load that rode on the present answer was noted.
-	loadTold bool
-	// faulty is an upstream's own error that may yet be passed on.
-	faulty *errorAnswer
+	// timeouts is with the upstream of the present attempt.
+	timeouts *timeouts
+	// loadRecorded is true once the load that rode on the present answer was noted.
+	loadRecorded bool
+	// lastError is an upstream's own error that may yet be passed on.
+	lastError *errorAnswer
 	// sentAt is when the present attempt began.
 	sentAt time.Time
 	// headAt is when the head of the present attempt's answer came; zero before.
 	headAt time.Time
 	// print is the zero value until it is asked for.
 	print suspect.Print
-	// firstAt is when the first event of the present attempt came; zero before.
-	firstAt time.Time
+	// firstEventAt is when the first event of the present attempt came; zero before.
+	firstEventAt time.Time
 	// quarantined is true while it is counted as a suspect that runs.
 	quarantined bool
-	// sound is true once the request was answered with success.
-	sound bool
+	// succeeded is true once the request was answered with success.
+	succeeded bool
 }
 
 // serve carries one request from its caller to an upstream and back.
@@ -84,9 +84,9 @@
 		w:      c.Response(),
 		r:      c.Request(),
 		call:   platform.DecodeCall(c.Request().Header),
-		began:  now,
+		startedAt:  now,
 	}
-	x.lastEvent = x.call.LastEvent
+	x.lastEventID = x.call.LastEvent
 	if stopping := s.stoppingAt.Load(); stopping != nil {
 		x.w.Header().Set("Connection", "close")
 		if now.Sub(*stopping) > s.o.Stop.LastCallAfter {
@@ -98,19 +98,19 @@
 		x.refuse(refusal)
 		return nil
 	}
-	_ = http.NewResponseController(x.w).SetWriteDeadline(x.steady(x.admission.Deadline.Add(writeSlack)))
+	_ = http.NewResponseController(x.w).SetWriteDeadline(x.connDeadline(x.admission.Deadline.Add(writeGrace)))
 	if refusal := x.readBody(); refusal != nil {
 		x.refuse(refusal)
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(x.r.Context(), x.left()+answerSlack)
+	ctx, cancel := context.WithTimeout(x.r.Context(), x.remaining()+deadlineGrace)
 	defer cancel()
 	if refusal := x.enter(); refusal != nil {
 		x.refuse(refusal)
 		return nil
 	}
 	defer x.leave()
-	x.attempts(ctx)
+	x.tryUpstreams(ctx)
 	return nil
 }
 
@@ -136,32 +136,32 @@
 	return r.Host
 }
 
-// left is the time until the request's deadline.
-func (x *request) left() time.Duration { return x.admission.Deadline.Sub(x.server.now()) }
+// remaining is the time until the request's deadline.
+func (x *request) remaining() time.Duration { return x.admission.Deadline.Sub(x.server.now()) }
 
-// steady is the time by the steady clock, for deadlines of connections.
-func (x *request) steady(t time.Time) time.Time {
+// connDeadline is the time by the connDeadline clock, for deadlines of connections.
+func (x *request) connDeadline(t time.Time) time.Time {
 	return clock.Deadline(t.Sub(x.server.now()))
 }
 
-// attempts tries upstreams until the request has its answer.
-func (x *request) attempts(ctx context.Context) {
+// tryUpstreams tries upstreams until the request has its answer.
+func (x *request) tryUpstreams(ctx context.Context) {
 	next := x.pick
 	for {
 		choice, ok := next()
 		if choice.RetryAfter > 0 {
 			x.logBusy(choice)
-			x.end(gateway.Busy(choice.RetryAfter))
+			x.refuseOrAbort(gateway.Busy(choice.RetryAfter))
 			return
 		}
 		if !ok {
-			x.end(gateway.NoUpstreamLeft(x.server.now(), x.admission, x.progress))
+			x.refuseOrAbort(gateway.NoUpstreamLeft(x.server.now(), x.admission, x.progress))
 			return
 		}
-		if x.left() <= 0 {
+		if x.remaining() <= 0 {
 			// The host stood still between the choice and now: nothing is sent late.
-			x.giveBack(choice)
-			x.end(gateway.TooLate(x.progress))
+			x.releaseChoice(choice)
+			x.refuseOrAbort(gateway.TooLate(x.progress))
 			return
 		}
 		x.backup = choice.Backup
@@ -178,7 +178,7 @@
 			x.refuse(gateway.CrashesUpstreams(true))
 			return
 		}
-		step := gateway.Next(now, x.admission, x.progress, failure, x.spend)
+		step := gateway.Next(now, x.admission, x.progress, failure, x.spendRetry)
 		x.logFailure(choice, failure, step, err)
 		switch step.Do {
 		case gateway.Retry:
@@ -187,16 +187,16 @@
 				x.server.metrics.resumes.Inc()
 			}
 		case gateway.Continue:
-			next = x.fromBackup
+			next = x.pickBackup
 			x.server.metrics.continues.Inc()
 		case gateway.Relay:
 			x.relayError()
 			return
 		case gateway.Refuse:
-			x.end(step.Refusal)
+			x.refuseOrAbort(step.Refusal)
 			return
 		case gateway.Abort:
-			x.cut(failure)
+			x.abort(failure)
 		}
 	}
 }
--- a/internal/edge/gatewayd/lines.go
+++ b/internal/edge/gatewayd/request_log.go
@@ -14,8 +14,8 @@
 	completed     = "completed"
 	refused       = "refused"
 	upstreamError = "upstream_error"
-	// cutBecause is followed by the name of the failure.
-	cutBecause = "cut_"
+	// abortedPrefix is followed by the name of the failure.
+	abortedPrefix = "cut_"
 )
 
 // log begins a line about this request.
@@ -77,7 +77,7 @@
 	if f == gateway.Lost {
 		// It may be why the upstream broke off: the print tells whether it was there
 		// at other breaks, as another request by its identity.
-		line = line.Stringer("print", x.printed()).Dur("since_head", x.sinceHead())
+		line = line.Stringer("print", x.fingerprint()).Dur("since_head", x.sinceHead())
 	}
 	line.
 		Int("attempt", len(x.tried)).
@@ -85,7 +85,7 @@
 		Stringer("failure", f).
 		Bool("again", step.Do == gateway.Retry || step.Do == gateway.Continue).
 		Int("events", x.events).
-		Dur("left", x.left()).
+		Dur("left", x.remaining()).
 		AnErr("cause", err).
 		Msg("attempt failed")
 }
@@ -102,7 +102,7 @@
 // logEnd writes the last line of a request and counts it.
 func (x *request) logEnd(result string, refusal *gateway.Refusal) {
 	kind := "none"
-	took := x.server.now().Sub(x.began)
+	took := x.server.now().Sub(x.startedAt)
 	if route := x.admission.Route; route != nil {
 		kind = route.Kind.String()
 		if result == completed {
@@ -121,11 +121,11 @@
 		Dur("longest_gap", x.longestGap).
 		Int("events", x.events).
 		Int("sent", x.progress.Sent)
-	if x.repeated > 0 {
-		line = line.Int("repeated", x.repeated)
+	if x.duplicateEvents > 0 {
+		line = line.Int("repeated", x.duplicateEvents)
 	}
 	if refusal != nil && refusal.Kind == gateway.Harmful {
-		line = line.Stringer("print", x.printed())
+		line = line.Stringer("print", x.fingerprint())
 	}
 	if refusal != nil {
 		line = line.Str("reason", string(refusal.Reason)).
--- a/internal/edge/gatewayd/respond.go
+++ b/internal/edge/gatewayd/respond.go
@@ -32,23 +32,23 @@
 	}
 }
 
-// end answers with a refusal, or cuts an answer that cannot be completed.
-func (x *request) end(refusal *gateway.Refusal) {
+// refuseOrAbort answers with a refusal, or cuts an answer that cannot be completed.
+func (x *request) refuseOrAbort(refusal *gateway.Refusal) {
 	if x.progress.ResponseStarted {
-		x.cut(gateway.Lost)
+		x.abort(gateway.Lost)
 	}
 	if refusal.ForLackOfUpstream() {
-		refusal = x.withComeBack(refusal)
+		refusal = x.withRetryAfter(refusal)
 	}
 	x.refuse(refusal)
 }
 
-// withComeBack tells the caller when to come back if all upstreams rest, or have no turn.
-func (x *request) withComeBack(refusal *gateway.Refusal) *gateway.Refusal {
+// withRetryAfter tells the caller when to come back if all upstreams rest, or have no turn.
+func (x *request) withRetryAfter(refusal *gateway.Refusal) *gateway.Refusal {
 	var left time.Duration
 	var limited bool
 	x.server.control.Must(func(now time.Time) {
-		left, limited = x.server.table.RetryAfter(now, x.admission.Pool, uint64(x.began.UnixNano()))
+		left, limited = x.server.table.RetryAfter(now, x.admission.Pool, uint64(x.startedAt.UnixNano()))
 	})
 	if limited {
 		return refusal.WithLimit(left)
@@ -73,9 +73,9 @@
 	x.logEnd(refused, refusal)
 }
 
-// cut closes the caller's connection, so that a part never passes for the
+// abort closes the caller's connection, so that a part never passes for the
 // whole. It does not return.
-func (x *request) cut(f gateway.Failure) {
-	x.logEnd(cutBecause+f.String(), nil)
+func (x *request) abort(f gateway.Failure) {
+	x.logEnd(abortedPrefix+f.String(), nil)
 	panic(http.ErrAbortHandler)
 }
--- a/internal/edge/gatewayd/rest_test.go
+++ b/internal/edge/gatewayd/rest_test.go
@@ -12,8 +12,8 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// restLine asks for rest of half a minute, as it stands in the head of a refusal.
-const restLine = "Retry-After: 30\r\n"
+// retryAfterLine asks for rest of half a minute, as it stands in the head of a refusal.
+const retryAfterLine = "Retry-After: 30\r\n"
 
 // Four upstreams of twelve refused all requests and asked for 3 s of rest each. One of
 // them got 24 requests of one gateway in that time, and all four together 210 of the
@@ -23,7 +23,7 @@
 func TestUpstreamThatAsksForRestGetsNone(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 3, func(int, standin.Request) standin.Reply {
-		return standin.Reply{Refuse: true, Lines: restLine}
+		return standin.Reply{Refuse: true, Lines: retryAfterLine}
 	})
 	for range 20 {
 		w.call("/write/1")
@@ -39,7 +39,7 @@
 	is := is.New(t)
 	var takes atomic.Bool
 	w := newWorld(t, 2, func(int, standin.Request) standin.Reply {
-		return standin.Reply{Refuse: !takes.Load(), Lines: restLine}
+		return standin.Reply{Refuse: !takes.Load(), Lines: retryAfterLine}
 	})
 	w.call("/write/1")
 	w.call("/write/1")
@@ -65,17 +65,17 @@
 		// logs must be in the logs.
 		logs string
 	}{
-		{"whole seconds", standin.Reply{Refuse: true, Lines: restLine}, true, "upstream asks for rest"},
+		{"whole seconds", standin.Reply{Refuse: true, Lines: retryAfterLine}, true, "upstream asks for rest"},
 		{"a fraction", standin.Reply{Refuse: true, Lines: "Retry-After: 20.5\r\n"}, true, `"asked":20500`},
 		{"more than is believed", standin.Reply{Refuse: true, Lines: "Retry-After: 1000000000000\r\n"}, true, `"rest":3`},
-		{"sealed, as if it had run", standin.Reply{Status: 503, Lines: restLine}, true, "upstream asks for rest"},
-		{"in the place of another answer", standin.Reply{Status: 503, Foreign: true, Lines: restLine}, true, "upstream asks for rest"},
+		{"sealed, as if it had run", standin.Reply{Status: 503, Lines: retryAfterLine}, true, "upstream asks for rest"},
+		{"in the place of another answer", standin.Reply{Status: 503, Foreign: true, Lines: retryAfterLine}, true, "upstream asks for rest"},
 		{"none", standin.Reply{Refuse: true}, false, "refused"},
 		{"no time", standin.Reply{Refuse: true, Lines: "Retry-After: 0\r\n"}, false, "refused"},
 		{"below 0", standin.Reply{Refuse: true, Lines: "Retry-After: -3\r\n"}, false, "upstream says what cannot be read"},
 		{"a date", standin.Reply{Refuse: true, Lines: "Retry-After: Fri, 01 Jan 2100 00:00:00 GMT\r\n"}, false, "upstream says what cannot be read"},
-		{"with an answer", standin.Reply{Body: "done", Lines: restLine}, false, "completed"},
-		{"with a rate limit", standin.Reply{Status: 429, Lines: restLine}, false, "without the promise"},
+		{"with an answer", standin.Reply{Body: "done", Lines: retryAfterLine}, false, "completed"},
+		{"with a rate limit", standin.Reply{Status: 429, Lines: retryAfterLine}, false, "without the promise"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/edge/gatewayd/slow_test.go
+++ b/internal/edge/gatewayd/slow_test.go
@@ -91,8 +91,8 @@
 func TestFirstByteOfAReplacedError(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 2, fine)
-	x := &request{server: w.server, began: time.Now().Add(-time.Second), patience: &patience{}}
-	x.answerBegan(answer{head: platform.Answer{}})
+	x := &request{server: w.server, startedAt: time.Now().Add(-time.Second), timeouts: &timeouts{}}
+	x.answerStarted(answer{head: platform.Answer{}})
 	is.Equal(x.firstByte, time.Duration(0))
 }
 
--- a/internal/edge/gatewayd/stream.go
+++ b/internal/edge/gatewayd/stream.go
@@ -13,17 +13,17 @@
 	"github.com/gladegauge/gladegauge/internal/core/gateway"
 )
 
-// heardEvery is how often a running stream tells that its upstream lives.
-const heardEvery = 200 * time.Millisecond
+// heardInterval is how often a running stream tells that its upstream lives.
+const heardInterval = 200 * time.Millisecond
 
 // relayStream passes on whole events as they come. After a break the events
 // that the caller has are never sent again, whatever the next upstream begins with: one that
 // goes on after the last event of its run sends that one once more. A part of an event was
 // never sent.
 func (x *request) relayStream(ctx context.Context, a answer) (gateway.Failure, error) {
-	br := readers.Get().(*bufio.Reader)
+	br := readerPool.Get().(*bufio.Reader)
 	br.Reset(a)
-	defer readers.Put(br)
+	defer readerPool.Put(br)
 	out := http.NewResponseController(x.w)
 	began := false
 	// behind is true until an event comes that the caller does not have yet.
@@ -35,18 +35,18 @@
 		e, err := readEvent(br)
 		if errors.Is(err, io.EOF) {
 			x.commitStream(a)
-			x.sound = true
+			x.succeeded = true
 			return gateway.None, nil
 		}
 		if err != nil {
 			return x.failureOf(ctx, err), errors.Wrapf(err, "stream broken after %d events", x.events)
 		}
 		now := x.server.now()
-		x.patience.eventCame()
+		x.timeouts.eventReceived()
 		if !began {
 			began = true
-			x.firstAt = now
-			x.answerBegan(a)
+			x.firstEventAt = now
+			x.answerStarted(a)
 			heard = now
 			last = now
 		}
@@ -55,23 +55,23 @@
 			x.longestGap = max(x.longestGap, now.Sub(last))
 			last = now
 		}
-		if now.Sub(heard) >= heardEvery {
+		if now.Sub(heard) >= heardInterval {
 			heard = now
 			told := gaps
 			gaps = balance.Gaps{}
 			x.server.control.Must(func(now time.Time) { x.server.table.Heard(now, a.choice.ID, told) })
 		}
 		x.commitStream(a)
-		if behind && !e.follows(x.lastEvent) {
-			x.repeated++
-			x.patience.eventSent()
+		if behind && !e.follows(x.lastEventID) {
+			x.duplicateEvents++
+			x.timeouts.eventSent()
 			continue
 		}
 		behind = false
 		if err := x.send(out, e); err != nil {
 			return gateway.CallerGone, err
 		}
-		x.patience.eventSent()
+		x.timeouts.eventSent()
 	}
 }
 
@@ -93,7 +93,7 @@
 	}
 	x.events++
 	if e.id != "" {
-		x.lastEvent = e.id
+		x.lastEventID = e.id
 	}
 	return nil
 }
--- a/internal/edge/gatewayd/suspects.go
+++ b/internal/edge/gatewayd/suspects.go
@@ -34,7 +34,7 @@
 	if !x.server.suspects.Any() {
 		return nil
 	}
-	p := x.printed()
+	p := x.fingerprint()
 	v := suspect.Free
 	x.server.control.Must(func(now time.Time) { v = x.server.suspects.Admit(now, p) })
 	switch v {
@@ -53,19 +53,19 @@
 // leave notes that the request runs no more.
 func (x *request) leave() {
 	if x.quarantined {
-		x.server.control.Must(func(time.Time) { x.server.suspects.Release(x.printed()) })
+		x.server.control.Must(func(time.Time) { x.server.suspects.Release(x.fingerprint()) })
 	}
 }
 
 // survived reports whether the attempt showed that the request does its upstream no
 // harm: it was answered with success, or had run for long.
 func (x *request) survived(o balance.Outcome) bool {
-	return (o == balance.Completed && x.sound) || x.ranForLong()
+	return (o == balance.Completed && x.succeeded) || x.ranForLong()
 }
 
 // ranForLong reports whether the stream of the present attempt had gone on for long.
 func (x *request) ranForLong() bool {
-	return !x.firstAt.IsZero() && x.server.now().Sub(x.firstAt) >= suspects.SoundFor
+	return !x.firstEventAt.IsZero() && x.server.now().Sub(x.firstEventAt) >= suspects.SoundFor
 }
 
 // lostAt looks whether the upstream ended under the request, and returns what may be
@@ -76,7 +76,7 @@
 	}
 	s := x.server
 	lost := suspects.Lost{
-		Print: x.printed(), Request: x.call.ID, Organisation: x.organisation(),
+		Print: x.fingerprint(), Request: x.call.ID, Organisation: x.organisation(),
 		Start: c.Start(), Upstream: c.ID, Ran: s.now().Sub(x.sentAt),
 	}
 	leaves, known := false, false
--- a/internal/edge/gatewayd/take.go
+++ b/internal/edge/gatewayd/take.go
@@ -77,7 +77,7 @@
 
 // keepError reads an upstream's own error; another attempt may replace it.
 func (x *request) keepError(ctx context.Context, a answer) (gateway.Failure, error) {
-	x.answerBegan(a)
+	x.answerStarted(a)
 	data, err := io.ReadAll(io.LimitReader(a, holdBytes+1))
 	if err == nil && len(data) > holdBytes {
 		err = errors.Newf("more than %d bytes", holdBytes)
@@ -85,19 +85,19 @@
 	if err != nil {
 		return x.failureOf(ctx, err), errors.Wrapf(err, "%s with a body that could not be kept", a.Status)
 	}
-	x.faulty = &errorAnswer{status: a.StatusCode, header: a.Header, body: data}
+	x.lastError = &errorAnswer{status: a.StatusCode, header: a.Header, body: data}
 	return gateway.Faulty, errors.Newf("the upstream answered %s", a.Status)
 }
 
 // relayWhole passes on an answer that is no stream. A small one is read whole
 // first.
 func (x *request) relayWhole(ctx context.Context, a answer) (gateway.Failure, error) {
-	x.answerBegan(a)
+	x.answerStarted(a)
 	data, err := io.ReadAll(io.LimitReader(a, holdBytes+1))
 	if err != nil {
 		return x.failureOf(ctx, err), errors.Wrap(err, "body cut short")
 	}
-	x.sound = isSuccess(a.StatusCode)
+	x.succeeded = isSuccess(a.StatusCode)
 	x.commit(a.StatusCode, a.Header, a.ContentLength)
 	if _, err := x.w.Write(data); err != nil {
 		return gateway.CallerGone, errors.WithStack(err)
@@ -147,14 +147,14 @@
 		h["Content-Type"] = nil
 	}
 	x.progress.ResponseStarted = true
-	x.firstByte = x.server.now().Sub(x.began)
+	x.firstByte = x.server.now().Sub(x.startedAt)
 	x.w.WriteHeader(status)
 }
 
 // relayError passes on the upstream's own error.
 func (x *request) relayError() {
-	x.commit(x.faulty.status, x.faulty.header, int64(len(x.faulty.body)))
-	if _, err := io.Copy(x.w, bytes.NewReader(x.faulty.body)); err != nil {
+	x.commit(x.lastError.status, x.lastError.header, int64(len(x.lastError.body)))
+	if _, err := io.Copy(x.w, bytes.NewReader(x.lastError.body)); err != nil {
 		x.log().Err(err).Msg("caller left before the upstream's error went out")
 	}
 	x.logEnd(upstreamError, nil)
