--- a/internal/edge/gatewayd/attempt.go
+++ b/internal/edge/gatewayd/attempt.go
@@ -11,8 +11,8 @@
 	"github.com/gladegauge/gladegauge/platform"
 )
 
-// attempt sends the request to one upstream. It returns None when the caller
-// has the whole answer.
+// attempt sends the request to one upstream. It returns None once the caller has the whole
+// response.
 func (x *request) attempt(ctx context.Context, choice balance.Choice) (gateway.Failure, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -45,16 +45,16 @@
 	}
 	load := a.head.Load
 	if x.loadRecorded {
-		// It was reported when the answer began, and is old by now.
+		// The load was recorded when the response started, and is out of date by now.
 		load = nil
 	}
 	x.finishAttempt(choice, outcomeOfAnswer(failure, err, a.StatusCode), load)
 	return failure, err
 }
 
-// maySend is the last look before the first byte goes out: while a connection was made, the
-// upstream maySend have said to others that it leaves, wants rest, or has a limit that this
-// request has no turn of.
+// maySend is checked immediately before the first byte is written. While the connection was
+// being established, the upstream may have announced to other requests that it is leaving,
+// that gateways should back off, or a rate limit of which this request has no turn.
 func (x *request) maySend(choice balance.Choice) bool {
 	closed := *x.server.closed.Load()
 	if len(closed) == 0 {
@@ -64,21 +64,20 @@
 	return !closed.Has(now, choice.Start()) && (choice.Turn || !closed.Limited(now, choice.Start()))
 }
 
-// releaseChoice takes back a choice that nothing was sent to.
+// releaseChoice reverts a choice to which nothing was sent.
 func (x *request) releaseChoice(choice balance.Choice) {
 	x.server.control.Must(func(now time.Time) {
 		x.server.table.Ended(now, choice, balance.Abandoned, balance.Answer{})
 	})
 }
 
-// owns reports whether an answer belongs to this request. Refusals may lack
-// the identity.
+// owns reports whether an answer belongs to this request. Refusals may lack the request ID.
 func (x *request) owns(r *http.Response) bool {
 	a := platform.DecodeAnswer(r.StatusCode, r.Header)
 	return x.call.ID == "" || a.ID == x.call.ID || (a.ID == "" && !a.Sealed)
 }
 
-// finishAttempt tells the control goroutine what became of the attempt.
+// finishAttempt records the outcome of the attempt in the control goroutine.
 func (x *request) finishAttempt(choice balance.Choice, o balance.Outcome, load *balance.Load) {
 	tokens := 0
 	if p, ok := x.view.Table.Pool(x.admission.Pool); ok && p.Engine != nil {
@@ -87,7 +86,8 @@
 	x.server.metrics.attempt(choice, o)
 	survived := x.survived(o)
 	if survived {
-		// Not in the control goroutine: it takes some microseconds.
+		// Computed here because hashing takes several microseconds, which would block the
+		// control goroutine.
 		x.fingerprint()
 	}
 	x.server.control.Must(func(now time.Time) {
@@ -104,7 +104,8 @@
 	})
 }
 
-// answerStarted notes the first event of a stream, or the head of another answer.
+// answerStarted records the arrival of the first event of a stream, or of the header of any
+// other answer.
 func (x *request) answerStarted(a answer) {
 	x.timeouts.answerStarted()
 	x.loadRecorded = true
--- a/internal/edge/gatewayd/rest_test.go
+++ b/internal/edge/gatewayd/backoff_test.go
@@ -12,15 +12,14 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// retryAfterLine asks for rest of half a minute, as it stands in the head of a refusal.
+// retryAfterLine is the header line of a refusal that requests a backoff of 30 s.
 const retryAfterLine = "Retry-After: 30\r\n"
 
-// Four upstreams of twelve refused all requests and asked for 3 s of rest each. One of
-// them got 24 requests of one gateway in that time, and all four together 210 of the
-// pool's 414. A refusal taught nothing: upstreams that refuse have "in_flight":0, so that
-// they looked idle beside the others with 0.83 in the mean, and the next request went
-// there again. The callers were told to come back in 50 ms.
-func TestUpstreamThatAsksForRestGetsNone(t *testing.T) {
+// An upstream that requested a backoff gets no further requests. Upstreams that refuse have
+// nothing in flight: unless their backoff is honoured they look idle and attract most of the
+// pool's requests. Four of twelve upstreams that refused everything, each with a backoff of
+// 3 s, then got 210 of 414 requests, and the callers were told to retry after 50 ms.
+func TestBackoffIsHonoured(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 3, func(int, standin.Request) standin.Reply {
 		return standin.Reply{Refuse: true, Lines: retryAfterLine}
@@ -33,13 +32,13 @@
 	}
 }
 
-// Where all upstreams rest the caller is told at once when the first of them is back, and
-// that nothing ran. A rest is over when it is, also while the host stood still.
-func TestAllUpstreamsRest(t *testing.T) {
+// If all upstreams are backing off, the caller is told immediately when the first of them is
+// back, and that nothing ran. A backoff also elapses while the host is suspended.
+func TestAllUpstreamsBackingOff(t *testing.T) {
 	is := is.New(t)
-	var takes atomic.Bool
+	var accepts atomic.Bool
 	w := newWorld(t, 2, func(int, standin.Request) standin.Reply {
-		return standin.Reply{Refuse: !takes.Load(), Lines: retryAfterLine}
+		return standin.Reply{Refuse: !accepts.Load(), Lines: retryAfterLine}
 	})
 	w.call("/write/1")
 	w.call("/write/1")
@@ -50,31 +49,32 @@
 	is.True(time.Since(asked) < time.Second)
 	w.await(func() bool { return strings.Contains(w.logs.String(), `"reason":"upstreams_rest"`) })
 	is.Equal(len(w.ran()), 0)
-	takes.Store(true)
+	accepts.Store(true)
 	w.suspend(30 * time.Second)
 	w.await(func() bool { return w.call("/read/1").Status == 200 })
 }
 
-// What a refusal may say of a rest, and what is made of it.
-func TestWordsOfRest(t *testing.T) {
+// Only a 503 with a valid Retry-After starts a backoff, whether or not it promises that the
+// request did not run, and also if it answers another request.
+func TestRetryAfterOfAnswers(t *testing.T) {
 	tests := []struct {
 		name  string
 		reply standin.Reply
-		// rests tells whether the next request is kept away.
-		rests bool
-		// logs must be in the logs.
+		// backsOff is true if the next request must not be sent there.
+		backsOff bool
+		// logs must occur in the logs.
 		logs string
 	}{
-		{"whole seconds", standin.Reply{Refuse: true, Lines: retryAfterLine}, true, "upstream asks for rest"},
+		{"whole seconds", standin.Reply{Refuse: true, Lines: retryAfterLine}, true, "upstream requested a backoff"},
 		{"a fraction", standin.Reply{Refuse: true, Lines: "Retry-After: 20.5\r\n"}, true, `"asked":20500`},
-		{"more than is believed", standin.Reply{Refuse: true, Lines: "Retry-After: 1000000000000\r\n"}, true, `"rest":3`},
-		{"sealed, as if it had run", standin.Reply{Status: 503, Lines: retryAfterLine}, true, "upstream asks for rest"},
-		{"in the place of another answer", standin.Reply{Status: 503, Foreign: true, Lines: retryAfterLine}, true, "upstream asks for rest"},
+		{"longer than the maximum backoff", standin.Reply{Refuse: true, Lines: "Retry-After: 1000000000000\r\n"}, true, `"rest":3`},
+		{"sealed, as if the request had run", standin.Reply{Status: 503, Lines: retryAfterLine}, true, "upstream requested a backoff"},
+		{"in an answer to another request", standin.Reply{Status: 503, Foreign: true, Lines: retryAfterLine}, true, "upstream requested a backoff"},
 		{"none", standin.Reply{Refuse: true}, false, "refused"},
-		{"no time", standin.Reply{Refuse: true, Lines: "Retry-After: 0\r\n"}, false, "refused"},
-		{"below 0", standin.Reply{Refuse: true, Lines: "Retry-After: -3\r\n"}, false, "upstream says what cannot be read"},
-		{"a date", standin.Reply{Refuse: true, Lines: "Retry-After: Fri, 01 Jan 2100 00:00:00 GMT\r\n"}, false, "upstream says what cannot be read"},
-		{"with an answer", standin.Reply{Body: "done", Lines: retryAfterLine}, false, "completed"},
+		{"a zero delay", standin.Reply{Refuse: true, Lines: "Retry-After: 0\r\n"}, false, "refused"},
+		{"a negative delay", standin.Reply{Refuse: true, Lines: "Retry-After: -3\r\n"}, false, "upstream sent a notice that cannot be parsed"},
+		{"a date", standin.Reply{Refuse: true, Lines: "Retry-After: Fri, 01 Jan 2100 00:00:00 GMT\r\n"}, false, "upstream sent a notice that cannot be parsed"},
+		{"with a success", standin.Reply{Body: "done", Lines: retryAfterLine}, false, "completed"},
 		{"with a rate limit", standin.Reply{Status: 429, Lines: retryAfterLine}, false, "without the promise"},
 	}
 	for _, tt := range tests {
@@ -84,15 +84,15 @@
 			w.call("/write/1")
 			w.call("/write/1")
 			arrived := len(w.replicas[0].Arrived())
-			is.Equal(arrived == 1, tt.rests)
+			is.Equal(arrived == 1, tt.backsOff)
 			is.True(strings.Contains(w.logs.String(), tt.logs))
 		})
 	}
 }
 
-// A request that was picked for an upstream does not go out if the upstream has asked for
-// rest while the connection was made: it goes elsewhere, and costs nothing of the retries.
-func TestLastLookBeforeSending(t *testing.T) {
+// A request is not sent to the chosen upstream if the upstream requested a backoff while the
+// connection was being established. It is sent to another one, which costs no retry.
+func TestWithheldBeforeSending(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 2, func(int, standin.Request) standin.Reply { return standin.Reply{Body: "done"} })
 	closed := make(notice.Closed)
--- a/internal/edge/gatewayd/backup_test.go
+++ b/internal/edge/gatewayd/backup_test.go
@@ -12,8 +12,8 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// A stream that may run once goes on from the copy of its run after its engine
-// broke off, and only from there.
+// After its engine failed, a stream that may run only once is resumed from the copy of its run,
+// and from nowhere else.
 func TestContinueFromBackup(t *testing.T) {
 	const whole = "id: 1\ndata: 1\n\nid: 2\ndata: 2\n\nid: 3\ndata: 3\n\n"
 	const forged = "10.0.0.1:1"
@@ -25,14 +25,14 @@
 		whole  bool
 		runs   int
 	}{
-		{"broken off", standin.Reply{Events: events, CutAfter: 1}, standin.Reply{Events: events}, true, 2},
+		{"connection closed", standin.Reply{Events: events, CutAfter: 1}, standin.Reply{Events: events}, true, 2},
 		{"silent", standin.Reply{Events: events, CutAfter: 1, Mute: true}, standin.Reply{Events: events}, true, 2},
 		{"inside an event", standin.Reply{Events: events, CutAfter: 2, CutInside: true}, standin.Reply{Events: events}, true, 2},
 		{"after its last event", standin.Reply{Events: events, CutAfter: 3}, standin.Reply{Events: events}, true, 2},
 		{"silent after its last event", standin.Reply{Events: events, CutAfter: 3, Mute: true}, standin.Reply{Events: events}, true, 2},
 		{"inside what follows its last event", standin.Reply{Events: events, CutAfter: 3, CutInside: true}, standin.Reply{Events: events}, true, 2},
-		{"after its last event, no copy there", standin.Reply{Events: events, CutAfter: 3}, standin.Reply{Refuse: true}, false, 1},
-		{"no copy there", standin.Reply{Events: events, CutAfter: 1}, standin.Reply{Refuse: true}, false, 1},
+		{"after its last event, no copy available", standin.Reply{Events: events, CutAfter: 3}, standin.Reply{Refuse: true}, false, 1},
+		{"no copy available", standin.Reply{Events: events, CutAfter: 1}, standin.Reply{Refuse: true}, false, 1},
 		{"before its first event", standin.Reply{Nonsense: true}, standin.Reply{Events: events}, false, 1},
 	}
 	for _, tt := range tests {
@@ -50,9 +50,9 @@
 			w.await(func() bool { return w.server.view.Load().Table.Version == 2 })
 			a := w.caller.Call(context.Background(), standin.Request{
 				ID: "r-7", Host: "x.example", URI: "/chat/1", Key: "key-a", Body: "hello", DeadlineMs: 1900,
-				// The answer is long beside the prompt.
+				// The answer is longer than the prompt.
 				Tokens: "300,400", Parts: "5c1e:200,91bd:100",
-				// Not for callers to say.
+				// Callers must not be able to set these.
 				FetchFrom: forged, BackupAt: forged, ContinueFrom: forged + "/other",
 			})
 			is.NoErr(a.Err)
@@ -80,73 +80,74 @@
 	}
 }
 
-// While the caller does not read, nothing is expected of the upstream.
-func TestSlowCallerIsNoSilentUpstream(t *testing.T) {
+// While the caller does not read, no timeout runs against the upstream.
+func TestSlowCallerStopsTimeout(t *testing.T) {
 	is := is.New(t)
-	ended := make(chan struct{}, 1)
-	p := &timeouts{cancel: func() { ended <- struct{}{} }, now: time.Now, gapTimeout: time.Hour}
+	cancelled := make(chan struct{}, 1)
+	p := &timeouts{cancel: func() { cancelled <- struct{}{} }, now: time.Now, gapTimeout: time.Hour}
 	p.eventReceived()
 	p.eventSent()
 	p.eventReceived()
-	is.True(!p.gap.timer.Stop()) // nothing runs while the event is on its way to the caller
+	is.True(!p.gap.timer.Stop()) // stopped while the event is being sent to the caller
 	p.gapTimeout = time.Millisecond
 	p.eventSent()
-	<-ended // now it is silent
+	<-cancelled // the upstream is silent
 	p.stop()
-	is.Equal(len(ended), 0)
+	is.Equal(len(cancelled), 0)
 }
 
-// A timer that ran out while the process stood still says nothing of the upstream, whose
-// events may wait to be read: they are read first.
-func TestStandingStillIsNoSilence(t *testing.T) {
+// A timeout that expires while the process is stalled or suspended proves nothing about the
+// upstream, whose events may be waiting to be read. They are read before it is given up.
+func TestStallIsNotSilence(t *testing.T) {
 	const limit = 300 * time.Millisecond
 	tests := []struct {
 		name string
-		// still is how long the process stands still, from the middle of the wait on;
-		// suspended tells that the timers stand still as well.
-		still     time.Duration
+		// stall is how long the process is stalled, from half of the timeout on. If suspended
+		// is true, the host is suspended, which stops the timers as well.
+		stall     time.Duration
 		suspended bool
-		// comes is true if the next event came meanwhile.
-		comes bool
-		// gives is when the upstream is given up, after the event before; 0 for never.
-		gives time.Duration
+		// eventArrives is true if the next event arrives meanwhile.
+		eventArrives bool
+		// cancelledAt is the time from the previous event until the attempt is cancelled; 0
+		// if it is not.
+		cancelledAt time.Duration
 	}{
-		{name: "silence", gives: limit},
-		{name: "stood still for less than the wait", still: limit / 4, gives: limit},
-		{name: "stood still beyond the wait", still: 2 * limit, gives: limit/2 + 2*limit + resumeGrace},
-		{name: "stood still, and an event came", still: 2 * limit, comes: true},
-		{name: "suspended", still: 2 * limit, suspended: true, gives: limit + resumeGrace},
-		{name: "suspended, and an event came", still: 2 * limit, suspended: true, comes: true},
+		{name: "silence", cancelledAt: limit},
+		{name: "stalled for less than the timeout", stall: limit / 4, cancelledAt: limit},
+		{name: "stalled beyond the timeout", stall: 2 * limit, cancelledAt: limit/2 + 2*limit + resumeGrace},
+		{name: "stalled, and an event arrived", stall: 2 * limit, eventArrives: true},
+		{name: "suspended", stall: 2 * limit, suspended: true, cancelledAt: limit + resumeGrace},
+		{name: "suspended, and an event arrived", stall: 2 * limit, suspended: true, eventArrives: true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				began := time.Now()
-				var ended atomic.Int64
-				running := make(chan struct{}, 1) // full while the process stands still
+				start := time.Now()
+				var cancelled atomic.Int64
+				running := make(chan struct{}, 1) // full while the process is stalled
 				clock := func() time.Time {
 					running <- struct{}{}
 					<-running
-					if tt.suspended && time.Since(began) > limit/2 {
-						return time.Now().Add(tt.still)
+					if tt.suspended && time.Since(start) > limit/2 {
+						return time.Now().Add(tt.stall)
 					}
 					return time.Now()
 				}
-				p := &timeouts{cancel: func() { ended.Store(int64(time.Since(began))) }, now: clock, gapTimeout: limit}
+				p := &timeouts{cancel: func() { cancelled.Store(int64(time.Since(start))) }, now: clock, gapTimeout: limit}
 				p.eventSent()
 				time.Sleep(limit / 2)
 				if !tt.suspended {
 					running <- struct{}{}
-					time.Sleep(tt.still)
+					time.Sleep(tt.stall)
 					<-running
 				}
-				if tt.comes {
+				if tt.eventArrives {
 					time.Sleep(resumeGrace / 2)
 					p.eventReceived()
 				}
 				time.Sleep(time.Second)
-				is.Equal(time.Duration(ended.Load()), tt.gives)
+				is.Equal(time.Duration(cancelled.Load()), tt.cancelledAt)
 			})
 		})
 	}
--- a/internal/edge/gatewayd/body.go
+++ b/internal/edge/gatewayd/body.go
@@ -11,19 +11,19 @@
 	"github.com/gladegauge/gladegauge/internal/core/gateway"
 )
 
-// maxReplayBody is the largest body that is buffered for another attempt.
+// maxReplayBody is the size in bytes of the largest body that is buffered for retries.
 const maxReplayBody = 64 << 10
 
-// body is the caller's body: the part that was buffered, and what follows it.
+// body is the caller's body: a buffered prefix and the unread rest.
 type body struct {
 	buffered []byte
 	// rest is nil if the whole body was buffered.
 	rest io.Reader
-	// length is in bytes; below 0 if the caller did not say.
+	// length is in bytes; negative if the caller did not declare it.
 	length int64
 }
 
-// reader reads the body from its beginning, as far as it was buffered.
+// reader returns a reader of the body. Only the buffered part can be read more than once.
 func (b body) reader() io.ReadCloser {
 	if b.rest == nil {
 		return io.NopCloser(bytes.NewReader(b.buffered))
@@ -31,13 +31,14 @@
 	return io.NopCloser(io.MultiReader(bytes.NewReader(b.buffered), b.rest))
 }
 
-// readBody keeps a small body, so that it can be sent again.
+// readBody buffers the body, so that it can be replayed. Of a body that is larger than
+// maxReplayBody it buffers the beginning; such a request cannot be replayed.
 func (x *request) readBody() *gateway.Refusal {
 	x.progress.Replayable = true
 	if x.r.Body == nil || x.r.Body == http.NoBody {
 		return nil
 	}
-	// A caller that stops sending is not waited for beyond its request's time.
+	// Bounds the wait for a caller that stops sending its body.
 	conn := http.NewResponseController(x.w)
 	_ = conn.SetReadDeadline(x.connDeadline(x.admission.Deadline))
 	limit := x.view.Table.Limits.BodyBytes
@@ -56,8 +57,8 @@
 	case err != nil:
 		return gateway.Body(false)
 	}
-	// The deadline is lifted again: it would also end the wait for the caller's
-	// leave, and with it the request.
+	// The server keeps reading from the connection to detect a disconnect of the caller. A
+	// read deadline that expires there would cancel the request.
 	_ = conn.SetReadDeadline(time.Time{})
 	x.body.buffered = buffered
 	if len(buffered) <= maxReplayBody {
--- a/internal/edge/gatewayd/busy_test.go
+++ b/internal/edge/gatewayd/busy_test.go
@@ -15,9 +15,9 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// A request that would wait for most of its target is turned away at once: it has not
-// run, it is told when to come back, and the log says why.
-func TestBusyPoolTurnsAway(t *testing.T) {
+// A request that would wait for most of its target is shed immediately: it does not run, the
+// caller is told when to retry, and the reason is logged.
+func TestBusyPoolShedsRequests(t *testing.T) {
 	is := is.New(t)
 	hold := make(chan struct{})
 	w := &world{t: t, is: is, store: standin.NewStore(t)}
@@ -48,7 +48,7 @@
 			Keep:  time.Minute, Gateways: 3,
 		})
 	})
-	// The gateway must have seen such a wait itself.
+	// The gateway sheds requests only after it has observed such a wait itself.
 	w.await(func() bool { return time.Since(sent) > 600*time.Millisecond })
 	a := w.caller.Call(context.Background(), prompt(2))
 	is.Equal(a.Status, 503)
--- a/internal/edge/gatewayd/event.go
+++ b/internal/edge/gatewayd/event.go
@@ -10,28 +10,28 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxEventBytes bounds one event.
+// maxEventBytes is the maximum size of one event.
 const maxEventBytes = 1 << 20
 
-// readerPool keeps buffers for the next streams.
+// readerPool holds buffered readers for reuse by later streams.
 var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 4<<10) }}
 
-// event is one whole event of a stream, as it was written.
+// event is one complete event of a stream, as the upstream wrote it.
 type event struct {
 	raw []byte
-	// id is empty if the event does not say.
+	// id is empty if the event has none.
 	id string
 }
 
-// readEvent reads up to and with the blank line that ends an event. At the end
-// of the stream it returns io.EOF; a part of an event is an error.
+// readEvent reads up to and including the blank line that ends an event. At the end of the
+// stream it returns io.EOF; a partial event is another error.
 func readEvent(br *bufio.Reader) (event, error) {
 	var e event
-	// begin is where the present line begins; a long one comes in pieces.
-	begin := 0
+	// lineStart is the offset of the current line; a long line arrives in chunks.
+	lineStart := 0
 	for {
-		piece, err := br.ReadSlice('\n')
-		e.raw = append(e.raw, piece...)
+		chunk, err := br.ReadSlice('\n')
+		e.raw = append(e.raw, chunk...)
 		if len(e.raw) > maxEventBytes {
 			return e, errors.New("an event is too large")
 		}
@@ -45,8 +45,8 @@
 		case err != nil:
 			return e, errors.WithStack(err)
 		}
-		line := bytes.TrimRight(e.raw[begin:], "\r\n")
-		begin = len(e.raw)
+		line := bytes.TrimRight(e.raw[lineStart:], "\r\n")
+		lineStart = len(e.raw)
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
 			e.id = string(bytes.TrimSpace(id))
 		}
@@ -56,8 +56,8 @@
 	}
 }
 
-// follows reports whether the event comes after the one with the identity, or cannot be
-// compared with it. Identities of a stream rise.
+// follows reports whether the event comes after the event with the ID last, or cannot be
+// compared with it. The IDs of a stream increase.
 func (e event) follows(last string) bool {
 	if e.id == "" || last == "" {
 		return true
--- a/internal/edge/gatewayd/event_test.go
+++ b/internal/edge/gatewayd/event_test.go
@@ -20,10 +20,10 @@
 		ids  []string
 	}{
 		{"two events", "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n", []string{"id: 1\ndata: a\n\n", "id: 2\r\ndata: b\r\n\r\n"}, []string{"1", "2"}},
-		{"without an identity", "data: a\n\n", []string{"data: a\n\n"}, []string{""}},
+		{"without an ID", "data: a\n\n", []string{"data: a\n\n"}, []string{""}},
 		{"a header line first", "x-versions: 3\nid: 4\n\n", []string{"x-versions: 3\nid: 4\n\n"}, []string{"4"}},
 		{"a line that fills the buffer", "id: 1\ndata: " + long + "\ndata: b\n\n", []string{"id: 1\ndata: " + long + "\ndata: b\n\n"}, []string{"1"}},
-		{"a line whose rest looks like an identity", "id: 1\ndata: " + long + "id: 9\n\n", []string{"id: 1\ndata: " + long + "id: 9\n\n"}, []string{"1"}},
+		{"a line whose second chunk looks like an ID", "id: 1\ndata: " + long + "id: 9\n\n", []string{"id: 1\ndata: " + long + "id: 9\n\n"}, []string{"1"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -41,12 +41,12 @@
 	}
 }
 
-// A part of an event, and one that never ends, are errors.
+// Partial events, and events that are too large, are errors.
 func TestBrokenEvents(t *testing.T) {
 	tests := []struct{ name, text string }{
-		{"a part", "id: 1\ndata: a\n"},
-		{"a part of a line", "id: 1\ndata"},
-		{"one of too many lines", strings.Repeat("data: a\n", maxEventBytes/8+1) + "\n"},
+		{"a partial event", "id: 1\ndata: a\n"},
+		{"a partial line", "id: 1\ndata"},
+		{"too many lines", strings.Repeat("data: a\n", maxEventBytes/8+1) + "\n"},
 		{"a line that is too long", strings.Repeat("a", maxEventBytes+1) + "\n\n"},
 	}
 	for _, tt := range tests {
@@ -58,7 +58,7 @@
 	}
 }
 
-// What the caller has is known by the identities of events, as numbers where they are.
+// Event IDs are compared as numbers if both are numbers, else for equality only.
 func TestEventFollows(t *testing.T) {
 	tests := []struct {
 		id, last string
--- a/internal/edge/gatewayd/failure.go
+++ b/internal/edge/gatewayd/failure.go
@@ -12,7 +12,7 @@
 	"github.com/gladegauge/gladegauge/internal/edge/exchange"
 )
 
-// failureOf tells what an error of the exchange means.
+// failureOf classifies an error of the exchange.
 func (x *request) failureOf(ctx context.Context, err error) gateway.Failure {
 	var unsent *exchange.UnsentError
 	switch {
@@ -29,9 +29,9 @@
 	}
 }
 
-// outcomeOf tells what a failure says about the upstream. A refused connection
-// comes from its host: the process that listened there has ended. Silence may be
-// the fault of any link on the way.
+// outcomeOf maps a failure to an outcome for the upstream. A refused connection was refused
+// by its host, so the process that listened there has ended. A timeout may be the fault of
+// any link on the path.
 func outcomeOf(f gateway.Failure, err error) balance.Outcome {
 	switch f {
 	case gateway.Unsent:
@@ -54,7 +54,8 @@
 	}
 }
 
-// outcomeOfAnswer tells what an answer says about the upstream.
+// outcomeOfAnswer maps the failure of an attempt that got an answer to an outcome for the
+// upstream.
 func outcomeOfAnswer(f gateway.Failure, err error, status int) balance.Outcome {
 	if f == gateway.NotRun {
 		return outcomeOfRefusal(status)
@@ -62,9 +63,10 @@
 	return outcomeOf(f, err)
 }
 
-// outcomeOfRefusal tells what a refusal says about the upstream. One that has no room, or
-// too many requests, looks idle and draws its pool's requests if that is not counted. Other
-// refusals are the request's own fault, such as one without an identity.
+// outcomeOfRefusal maps the status of a refusal to an outcome for the upstream. An upstream
+// without capacity, or with too many requests, looks idle: unless its refusals count against
+// it, it attracts the requests of its pool. Other refusals are caused by the request, such as
+// one without an ID.
 func outcomeOfRefusal(status int) balance.Outcome {
 	switch status {
 	case http.StatusServiceUnavailable:
--- a/internal/edge/gatewayd/failure_test.go
+++ b/internal/edge/gatewayd/failure_test.go
@@ -16,7 +16,7 @@
 	"github.com/gladegauge/gladegauge/internal/edge/exchange"
 )
 
-// A refused connection tells that a start has ended; silence does not.
+// A refused connection proves that an incarnation has ended; a timeout does not.
 func TestOutcomeOf(t *testing.T) {
 	dial := func(errno syscall.Errno) error {
 		return &exchange.UnsentError{Cause: errors.WithStack(&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)})}
@@ -29,7 +29,7 @@
 	}{
 		{"refused", gateway.Unsent, dial(syscall.ECONNREFUSED), balance.Dead},
 		{"silent", gateway.Unsent, dial(syscall.ETIMEDOUT), balance.Unreachable},
-		{"no way", gateway.Unsent, dial(syscall.EHOSTUNREACH), balance.Unreachable},
+		{"no route to the host", gateway.Unsent, dial(syscall.EHOSTUNREACH), balance.Unreachable},
 		{"timed out", gateway.Unsent, &exchange.UnsentError{Cause: context.DeadlineExceeded}, balance.Unreachable},
 		{"reset in an answer", gateway.Lost, &exchange.LostError{Cause: syscall.ECONNRESET}, balance.Broken},
 		{"none", gateway.None, nil, balance.Completed},
@@ -41,8 +41,9 @@
 	}
 }
 
-// The gateway itself notes a replica whose port refuses, and tells of it.
-func TestRefusedConnectionIsTold(t *testing.T) {
+// The gateway marks a replica whose port refuses connections as gone, and reports it to other
+// gateways.
+func TestRefusedConnectionIsReported(t *testing.T) {
 	w := newWorld(t, 1, fine)
 	w.store.PutAddress("i-dead", closedAddress(t), "app")
 	w.await(func() bool { return w.upstreams() == 2 })
@@ -52,7 +53,7 @@
 	})
 }
 
-// goneCount is the number of upstreams that the gateway tells to be gone.
+// goneCount returns the number of upstreams that the gateway reports as gone.
 func goneCount(s *Server) int {
 	n := 0
 	s.control.Must(func(now time.Time) {
--- a/internal/edge/gatewayd/fingerprint.go
+++ b/internal/edge/gatewayd/fingerprint.go
@@ -2,8 +2,8 @@
 
 import "github.com/gladegauge/gladegauge/internal/core/suspect"
 
-// fingerprint returns the print of the request, by which it is known when it comes
-// again.
+// fingerprint returns the fingerprint of the request, which identifies it when it is sent
+// again. It is computed on first use.
 func (x *request) fingerprint() suspect.Print {
 	if x.print == (suspect.Print{}) {
 		x.print = suspect.PrintOf(suspect.Content{
--- a/internal/edge/gatewayd/forward.go
+++ b/internal/edge/gatewayd/forward.go
@@ -10,7 +10,7 @@
 	"github.com/gladegauge/gladegauge/platform"
 )
 
-// upstreamRequest is the request as the upstream gets it.
+// upstreamRequest returns the request as it is sent to the upstream.
 func (x *request) upstreamRequest(choice balance.Choice, now time.Time) *http.Request {
 	f := platform.Forward{
 		Upstream:     choice.ID,
@@ -37,7 +37,7 @@
 	return req
 }
 
-// upstreamURL keeps the caller's path and query as they were written.
+// upstreamURL returns a URL with the caller's path and query exactly as they were received.
 func upstreamURL(r *http.Request) *url.URL {
 	if strings.HasPrefix(r.RequestURI, "/") && !strings.HasPrefix(r.RequestURI, "//") {
 		return &url.URL{Opaque: r.RequestURI}
--- a/internal/edge/gatewayd/leaving_test.go
+++ b/internal/edge/gatewayd/leaving_test.go
@@ -8,16 +8,14 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// leavingLine is the word of an upstream that leaves, as it stands in the heads of its
-// answers.
+// leavingLine is the header line with which an upstream announces that it is leaving.
 const leavingLine = "Server-Leaving: 1\r\n"
 
-// While the store was silent, an upstream said in its answers that it leaves, and the
-// gateway that passed such an answer on sent it another request 12.3 s later, another
-// gateway 2.2 s later. Gateways knew of leaving from the store's entries alone: between
-// the answer and "store: regained" no log line spoke of it, and the next pick still
-// compared all of "candidates":12.
-func TestUpstreamThatSaysItLeavesGetsNothingNew(t *testing.T) {
+// An upstream that announces in any answer that it is leaving gets no new requests, also while
+// the store is unreachable. If gateways learn of it from the store's entries alone, they keep
+// sending: during a store outage the gateway that had relayed such an answer sent the upstream
+// another request 12.3 s later.
+func TestLeavingUpstreamGetsNoNewRequests(t *testing.T) {
 	tests := []struct {
 		name  string
 		reply standin.Reply
@@ -26,8 +24,8 @@
 		{"with a stream", standin.Reply{Events: []string{"a", "b"}, Lines: leavingLine}},
 		{"with an error", standin.Reply{Status: 500, Lines: leavingLine}},
 		{"with a refusal", standin.Reply{Refuse: true, Lines: leavingLine}},
-		{"with an answer that is cut off", standin.Reply{Body: "done", CutAfter: 1, Lines: leavingLine}},
-		{"with an answer in the place of another one", standin.Reply{Body: "done", Foreign: true, Lines: leavingLine}},
+		{"with a truncated answer", standin.Reply{Body: "done", CutAfter: 1, Lines: leavingLine}},
+		{"with an answer to another request", standin.Reply{Body: "done", Foreign: true, Lines: leavingLine}},
 		{"with an interim answer", standin.Reply{Body: "done", Before: "HTTP/1.1 103 Early Hints\r\n" + leavingLine + "\r\n"}},
 	}
 	for _, tt := range tests {
@@ -36,7 +34,7 @@
 			w := newWorld(t, 3, func(int, standin.Request) standin.Reply { return tt.reply })
 			w.store.SetTrouble(standin.Silent)
 			for range 3 {
-				w.call("/write/1") // each upstream says so once
+				w.call("/write/1") // each upstream announces it once
 			}
 			for range 5 {
 				a := w.call("/write/1")
--- a/internal/edge/gatewayd/limit_test.go
+++ b/internal/edge/gatewayd/limit_test.go
@@ -98,7 +98,7 @@
 	for range 20 {
 		is.Equal(w.call("/write/1").Status, 200)
 	}
-	is.Equal(strings.Count(w.logs.String(), "upstream says what cannot be read"), 1)
+	is.Equal(strings.Count(w.logs.String(), "upstream sent a notice that cannot be parsed"), 1)
 }
 
 // A request that was picked before the word of a limit came does not go out without a turn.
--- a/internal/edge/gatewayd/notice.go
+++ b/internal/edge/gatewayd/notice.go
@@ -12,20 +12,20 @@
 
 // Kinds of notices in metrics.
 const (
-	noticeLeaving = "leaving"
-	noticeBackoff    = "rest"
-	noticeLimit   = "limit"
-	noticeUnparsed  = "unread"
-	// noticeUnknownStart is of words that name no start that is listed.
+	noticeLeaving  = "leaving"
+	noticeBackoff  = "rest"
+	noticeLimit    = "limit"
+	noticeUnparsed = "unread"
+	// noticeUnknownStart is for notices that name no listed incarnation.
 	noticeUnknownStart = "nobody"
 )
 
-// maxLoggedText bounds what a log line shows of a word that could not be read.
+// maxLoggedText is the number of bytes of an unparsable notice that are logged.
 const maxLoggedText = 60
 
-// handleNotice takes what the head of an answer says of its upstream. It is shown each head
-// that comes: those of refusals and errors, and of answers to other requests. The platform's
-// list may tell of them many seconds later, or never.
+// handleNotice processes what an answer's header announces about its upstream. It is called
+// for every header that arrives, including those of refusals, of errors and of answers to other
+// requests: the platform's list may show the same many seconds later, or never.
 func (x *request) handleNotice(choice balance.Choice, r *http.Response) {
 	n := platform.DecodeNotice(r.StatusCode, r.Header)
 	s := x.server
@@ -35,38 +35,38 @@
 	if r.StatusCode >= http.StatusOK && x.owns(r) {
 		n.SentAt = x.sentAt
 	}
-	var said balance.NoticeResult
+	var result balance.NoticeResult
 	s.control.Must(func(now time.Time) {
-		said = s.table.Notice(now, choice.Instance, n)
+		result = s.table.Notice(now, choice.Instance, n)
 		switch {
-		case said.NewlyLeaving:
+		case result.NewlyLeaving:
 			s.publish(now, s.roster.Current(now))
-		case said.BackoffExtended, said.LimitChanged:
+		case result.BackoffExtended, result.LimitChanged:
 			s.publishClosed(now)
 		}
 	})
 	line := func(kind string) *zerolog.Event {
 		s.metrics.notices.WithLabelValues(kind).Inc()
 		return x.log().
-			Str("upstream", said.Of.ID).Uint64("start", said.Of.Start()).Bool("listed", said.Listed).
+			Str("upstream", result.Of.ID).Uint64("start", result.Of.Start()).Bool("listed", result.Listed).
 			Str("address", choice.Address).Int("status", r.StatusCode)
 	}
-	if said.Of.ID == "" && n.Any() {
-		line(noticeUnknownStart).Str("sent_to", choice.ID).Str("named", n.Of).Msg("a word of nobody that is listed")
+	if result.Of.ID == "" && n.Any() {
+		line(noticeUnknownStart).Str("sent_to", choice.ID).Str("named", n.Of).Msg("notice from an incarnation that is not listed")
 	}
-	if said.NewlyLeaving {
-		line(noticeLeaving).Msg("upstream says that it leaves")
+	if result.NewlyLeaving {
+		line(noticeLeaving).Msg("upstream announced that it is leaving")
 	}
-	if said.BackoffExtended {
-		rest := said.State.BackoffUntil().Sub(s.now())
-		line(noticeBackoff).Dur("asked", n.Rest).Dur("rest", rest).Msg("upstream asks for rest")
+	if result.BackoffExtended {
+		backoff := result.State.BackoffUntil().Sub(s.now())
+		line(noticeBackoff).Dur("asked", n.Rest).Dur("rest", backoff).Msg("upstream requested a backoff")
 	}
-	if said.LimitChanged {
-		limit := said.State.Announced()
+	if result.LimitChanged {
+		limit := result.State.Announced()
 		line(noticeLimit).Bool("limited", limit.Announced).Float64("per_second", limit.PerSecond).Msg("upstream changes its limit")
 	}
-	if said.NewlyUnreadable {
+	if result.NewlyUnreadable {
 		text := n.Unparsed[:min(len(n.Unparsed), maxLoggedText)]
-		line(noticeUnparsed).Str("text", text).Msg("upstream says what cannot be read")
+		line(noticeUnparsed).Str("text", text).Msg("upstream sent a notice that cannot be parsed")
 	}
 }
--- a/internal/edge/gatewayd/path_test.go
+++ b/internal/edge/gatewayd/path_test.go
@@ -12,9 +12,9 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// The first replica that is asked does something wrong, the second one is well.
+// The first replica misbehaves, the second one is healthy.
 func TestOneBadAnswer(t *testing.T) {
-	well := standin.Reply{Body: "good"}
+	healthy := standin.Reply{Body: "good"}
 	stream := standin.Reply{Events: []string{"1", "2", "3", "4"}}
 	const all = "id: 1\ndata: 1\n\nid: 2\ndata: 2\n\nid: 3\ndata: 3\n\nid: 4\ndata: 4\n\n"
 	tests := []struct {
@@ -25,27 +25,27 @@
 		status int
 		body   string
 		runs   int
-		// cut means that the caller sees a broken answer.
+		// cut means that the caller receives a truncated response.
 		cut bool
 	}{
-		{name: "a read is repeated after an error", uri: "/read/1", first: standin.Reply{Status: 500}, second: well, status: 200, body: "good", runs: 2},
-		{name: "a read is repeated after a cut", uri: "/read/1", first: standin.Reply{Body: "good", CutAfter: 1}, second: well, status: 200, body: "good", runs: 2},
-		{name: "a read is repeated after nonsense", uri: "/read/1", first: standin.Reply{Nonsense: true}, second: well, status: 200, body: "good", runs: 2},
-		{name: "a read is repeated after silence", uri: "/read/1", first: standin.Reply{Silent: true}, second: well, status: 200, body: "good", runs: 2},
-		{name: "a read is repeated without a seal", uri: "/read/1", first: standin.Reply{Body: "bad", Unsealed: true}, second: well, status: 200, body: "good", runs: 2},
-		{name: "a refusal goes elsewhere", uri: "/write/1", first: standin.Reply{Refuse: true}, second: well, status: 200, body: "good", runs: 1},
-		{name: "a write is not repeated after a cut", uri: "/write/1", first: standin.Reply{Body: "good", CutAfter: 1}, second: well, status: 502, runs: 1},
-		{name: "a write is not repeated after nonsense", uri: "/write/1", first: standin.Reply{Nonsense: true}, second: well, status: 502, runs: 1},
-		{name: "a write passes an error on", uri: "/write/1", first: standin.Reply{Status: 500, Body: "no"}, second: well, status: 500, body: "no", runs: 1},
-		{name: "a 503 without the promise is no promise", uri: "/write/1", first: standin.Reply{Status: 503}, second: well, status: 502, runs: 1},
-		{name: "an answer to somebody else is skipped", uri: "/write/1", first: standin.Reply{Foreign: true, Body: "mine"}, second: well, status: 200, body: "mine", runs: 1},
-		{name: "an answer without a length", uri: "/write/1", first: standin.Reply{Unframed: true, Body: "mine"}, second: well, status: 200, body: "mine", runs: 1},
-		{name: "a whole stream", uri: "/chat/1", first: stream, second: stream, status: 200, body: all, runs: 1},
-		{name: "a stream that may not be resumed is cut", uri: "/chat/1", first: standin.Reply{Events: stream.Events, CutAfter: 2}, second: stream, status: 200, body: all[:30], runs: 1, cut: true},
-		{name: "a resumable stream goes on", uri: "/note/1", first: standin.Reply{Events: stream.Events, CutAfter: 2}, second: stream, status: 200, body: all, runs: 2},
+		{name: "a read is retried after an error", uri: "/read/1", first: standin.Reply{Status: 500}, second: healthy, status: 200, body: "good", runs: 2},
+		{name: "a read is retried after a truncated answer", uri: "/read/1", first: standin.Reply{Body: "good", CutAfter: 1}, second: healthy, status: 200, body: "good", runs: 2},
+		{name: "a read is retried after an invalid answer", uri: "/read/1", first: standin.Reply{Nonsense: true}, second: healthy, status: 200, body: "good", runs: 2},
+		{name: "a read is retried after a timeout", uri: "/read/1", first: standin.Reply{Silent: true}, second: healthy, status: 200, body: "good", runs: 2},
+		{name: "a read is retried after an answer without a seal", uri: "/read/1", first: standin.Reply{Body: "bad", Unsealed: true}, second: healthy, status: 200, body: "good", runs: 2},
+		{name: "a refused write is sent to another upstream", uri: "/write/1", first: standin.Reply{Refuse: true}, second: healthy, status: 200, body: "good", runs: 1},
+		{name: "a write is not retried after a truncated answer", uri: "/write/1", first: standin.Reply{Body: "good", CutAfter: 1}, second: healthy, status: 502, runs: 1},
+		{name: "a write is not retried after an invalid answer", uri: "/write/1", first: standin.Reply{Nonsense: true}, second: healthy, status: 502, runs: 1},
+		{name: "the error of a write is relayed", uri: "/write/1", first: standin.Reply{Status: 500, Body: "no"}, second: healthy, status: 500, body: "no", runs: 1},
+		{name: "a 503 without the promise that the request did not run", uri: "/write/1", first: standin.Reply{Status: 503}, second: healthy, status: 502, runs: 1},
+		{name: "an answer to another request is skipped", uri: "/write/1", first: standin.Reply{Foreign: true, Body: "mine"}, second: healthy, status: 200, body: "mine", runs: 1},
+		{name: "an answer without a length", uri: "/write/1", first: standin.Reply{Unframed: true, Body: "mine"}, second: healthy, status: 200, body: "mine", runs: 1},
+		{name: "a complete stream", uri: "/chat/1", first: stream, second: stream, status: 200, body: all, runs: 1},
+		{name: "a stream that may not be resumed is aborted", uri: "/chat/1", first: standin.Reply{Events: stream.Events, CutAfter: 2}, second: stream, status: 200, body: all[:30], runs: 1, cut: true},
+		{name: "a resumable stream is resumed", uri: "/note/1", first: standin.Reply{Events: stream.Events, CutAfter: 2}, second: stream, status: 200, body: all, runs: 2},
 		{name: "a resumable stream that breaks off after its last event", uri: "/note/1", first: standin.Reply{Events: stream.Events, CutAfter: 4}, second: stream, status: 200, body: all, runs: 2},
-		{name: "a part of an event is not passed on", uri: "/note/1", first: standin.Reply{Events: stream.Events, CutAfter: 2, CutInside: true}, second: stream, status: 200, body: all, runs: 2},
-		{name: "a stream is resumed once", uri: "/note/1", first: standin.Reply{Events: stream.Events, CutAfter: 1}, second: standin.Reply{Events: stream.Events, CutAfter: 3}, status: 200, body: all[:45], runs: 2, cut: true},
+		{name: "a partial event is not forwarded", uri: "/note/1", first: standin.Reply{Events: stream.Events, CutAfter: 2, CutInside: true}, second: stream, status: 200, body: all, runs: 2},
+		{name: "a stream is resumed only once", uri: "/note/1", first: standin.Reply{Events: stream.Events, CutAfter: 1}, second: standin.Reply{Events: stream.Events, CutAfter: 3}, status: 200, body: all[:45], runs: 2, cut: true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -74,7 +74,9 @@
 	}
 }
 
-func TestWhatTheUpstreamGets(t *testing.T) {
+// The upstream receives path, body and headers unchanged, the organisation of the key instead
+// of the key, and a deadline that is not later than the caller's.
+func TestForwardedRequest(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1, func(int, standin.Request) standin.Reply { return standin.Reply{Body: "ok"} })
 	long := strings.Repeat("x", 3*maxReplayBody)
@@ -106,8 +108,8 @@
 		{"no route", standin.Request{URI: "/none/", Key: "key-a"}, 404},
 		{"another host", standin.Request{URI: "/read/1", Host: "y.example", Key: "key-a"}, 404},
 		{"no key", standin.Request{URI: "/read/1"}, 401},
-		{"a made-up key", standin.Request{URI: "/read/1", Key: "key-z"}, 401},
-		{"a body that is too large", standin.Request{URI: "/write/1", Key: "key-a", Body: strings.Repeat("x", 2<<20)}, 413},
+		{"an unknown key", standin.Request{URI: "/read/1", Key: "key-z"}, 401},
+		{"a body over the limit", standin.Request{URI: "/write/1", Key: "key-a", Body: strings.Repeat("x", 2<<20)}, 413},
 	}
 	w := newWorld(t, 1, func(int, standin.Request) standin.Reply { return standin.Reply{} })
 	for _, tt := range tests {
@@ -123,9 +125,9 @@
 	}
 }
 
-// Without an upstream, or with dead ones only, the request has not run, and
-// the caller is told at once when to come back.
-func TestNothingToSendTo(t *testing.T) {
+// Without upstreams, or with unreachable ones only, the request does not run, and the caller is
+// told immediately when to retry.
+func TestNoUpstreamAvailable(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 0, nil)
 	a := w.call("/write/1")
@@ -140,7 +142,7 @@
 	is.True(a.ComeBack() > 0)
 }
 
-// The route's time ends a request that its upstream does not answer.
+// A request that its upstream does not answer ends with the timeout of the route.
 func TestTimeout(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 2, func(int, standin.Request) standin.Reply { return standin.Reply{Silent: true} })
@@ -151,8 +153,9 @@
 	is.Equal(len(w.ran()), 1)
 }
 
-// A caller that leaves takes its work with it.
-func TestCallerLeaves(t *testing.T) {
+// When the caller disconnects, the connection to the upstream is closed and the request is not
+// retried.
+func TestCallerDisconnects(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1, func(int, standin.Request) standin.Reply { return standin.Reply{Silent: true} })
 	ctx, cancel := context.WithCancel(context.Background())
@@ -168,7 +171,7 @@
 	is.Equal(len(w.ran()), 1)
 }
 
-// Repeats stay within the budget, however many requests fail.
+// Retries stay within the budget, however many requests fail.
 func TestRetryBudget(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 2, func(int, standin.Request) standin.Reply { return standin.Reply{Status: 500} })
@@ -178,8 +181,8 @@
 	}
 	b := boundsOfTests()
 	most := retryMargin * (b.RetryReserve/assumedGateways + b.RetryShare*requests)
-	repeats := len(w.ran()) - requests
-	is.True(repeats > 0)
-	is.True(float64(repeats) <= most)
+	retries := len(w.ran()) - requests
+	is.True(retries > 0)
+	is.True(float64(retries) <= most)
 	is.True(strings.Contains(w.logs.String(), `"message":"retry budget is used up"`))
 }
--- a/internal/edge/gatewayd/pick.go
+++ b/internal/edge/gatewayd/pick.go
@@ -7,7 +7,8 @@
 	"github.com/gladegauge/gladegauge/internal/core/ingress"
 )
 
-// pick asks the control goroutine for an upstream.
+// pick chooses an upstream for the next attempt. If there is none, it tries to borrow a turn of
+// a rate-limited upstream from another gateway.
 func (x *request) pick() (balance.Choice, bool) {
 	var choice balance.Choice
 	var ok bool
@@ -23,7 +24,7 @@
 	return x.recordChoice(choice, ok)
 }
 
-// pickBackup asks for the engine that keeps a copy of the run's memory.
+// pickBackup chooses the engine that holds a copy of the run's KV cache.
 func (x *request) pickBackup() (balance.Choice, bool) {
 	var choice balance.Choice
 	var ok bool
@@ -34,7 +35,7 @@
 	return x.recordChoice(choice, ok)
 }
 
-// recordChoice notes a choice.
+// recordChoice records and logs a choice, unless ok is false.
 func (x *request) recordChoice(choice balance.Choice, ok bool) (balance.Choice, bool) {
 	if ok {
 		x.tried = append(x.tried, choice.ID)
@@ -43,7 +44,8 @@
 	return choice, ok
 }
 
-// balanceRequest is the request as the choice of an upstream sees it.
+// balanceRequest returns the properties of the request that the choice of an upstream
+// depends on.
 func (x *request) balanceRequest() balance.Request {
 	route := x.admission.Route
 	return balance.Request{
@@ -63,7 +65,8 @@
 	}
 }
 
-// organisation is the name of who sends the request; empty on public routes.
+// organisation returns the name of the organisation that sent the request; empty on public
+// routes.
 func (x *request) organisation() string {
 	if o := x.admission.Organisation; o != nil {
 		return o.Name
@@ -71,7 +74,7 @@
 	return ""
 }
 
-// spendRetry takes a retry from the budget of the request's pool.
+// spendRetry takes a retry from the pool's retry budget and reports whether one was left.
 func (x *request) spendRetry() bool {
 	ok := false
 	gateways := 0
--- a/internal/edge/gatewayd/refusal_test.go
+++ b/internal/edge/gatewayd/refusal_test.go
@@ -14,7 +14,7 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// What a refusal says of the upstream, by its status.
+// The outcome that a refusal counts as for the upstream depends on its status.
 func TestOutcomesOfRefusals(t *testing.T) {
 	tests := []struct {
 		status int
@@ -33,19 +33,19 @@
 }
 
 const (
-	// refusalCallers send so many requests each, one after the other.
+	// refusalCallers is the number of callers that send refusalRequests requests each, one
+	// after the other.
 	refusalCallers  = 6
 	refusalRequests = 20
-	// refusalWork is how long a sound upstream works on each.
+	// refusalWork is the time that a healthy upstream takes for each of them.
 	refusalWork = 20 * time.Millisecond
 )
 
-// Three tenths of a pool refused nine of ten requests with 429, and 450 requests ended
-// unserved, where 39 do if they refuse with 503. Every refusal but a 503 was taken for the
-// request's own fault: an upstream that refused with 429 stayed in each "picked" line's
-// candidates, had nothing in flight beside others that worked, and got 90 of 120 requests,
-// 3 if it refused with 503.
-func TestUpstreamThatRefusesIsLeftOut(t *testing.T) {
+// An upstream that refuses with 429 is avoided like one that refuses with 503. If a 429 were
+// attributed to the request alone, the upstream would stay a candidate with nothing in flight
+// and attract requests: it got 90 of 120 requests, against 3 with 503. In a pool of which three
+// tenths refused nine of ten requests, 450 requests then ended unserved, against 39 with 503.
+func TestRefusingUpstreamIsAvoided(t *testing.T) {
 	for _, status := range []int{http.StatusServiceUnavailable, http.StatusTooManyRequests} {
 		t.Run(http.StatusText(status), func(t *testing.T) {
 			is := is.New(t)
@@ -54,10 +54,10 @@
 				time.AfterFunc(refusalWork, func() { close(done) })
 				return standin.Reply{Hold: done}
 			})
-			refuses := standin.NewReplica(t, "i-z", func(int, standin.Request) standin.Reply {
+			refusing := standin.NewReplica(t, "i-z", func(int, standin.Request) standin.Reply {
 				return standin.Reply{Refuse: true, Status: status}
 			})
-			w.store.PutReplica(refuses, "app", false)
+			w.store.PutReplica(refusing, "app", false)
 			w.await(func() bool { return w.upstreams() == 3 })
 			var group errgroup.Group
 			for range refusalCallers {
@@ -70,8 +70,8 @@
 				})
 			}
 			is.NoErr(group.Wait())
-			t.Logf("%d of %d requests were sent there", len(refuses.Arrived()), refusalCallers*refusalRequests)
-			is.True(len(refuses.Arrived()) <= refusalCallers*refusalRequests/6)
+			t.Logf("%d of %d requests were sent to the refusing upstream", len(refusing.Arrived()), refusalCallers*refusalRequests)
+			is.True(len(refusing.Arrived()) <= refusalCallers*refusalRequests/6)
 		})
 	}
 }
--- a/internal/edge/gatewayd/request.go
+++ b/internal/edge/gatewayd/request.go
@@ -17,74 +17,82 @@
 )
 
 const (
-	// deadlineGrace is how long after its deadline a request is still held, so
-	// that the upstream's own word on the deadline can come.
+	// deadlineGrace is how long a request is kept open after its deadline, so that the
+	// upstream's own timeout response can still arrive.
 	deadlineGrace = 50 * time.Millisecond
-	// writeGrace is how much longer a caller may take to read its answer.
+	// writeGrace is how long after the deadline a caller may still read its response.
 	writeGrace = 2 * time.Second
 )
 
-// request is one caller's request on its way.
+// request is the state of one caller's request.
 type request struct {
 	server *Server
 	w      *echo.Response
 	r      *http.Request
 	call   platform.Call
-	// view is the configuration that admitted the request; it holds to the end.
+	// view is the configuration that admitted the request; it applies until the request
+	// ends.
 	view      ingress.View
 	admission gateway.Admission
 	progress  gateway.Progress
 	body      body
-	startedAt     time.Time
-	// tried are the upstreams that were picked.
+	startedAt time.Time
+	// tried are the IDs of the upstreams picked so far.
 	tried []string
-	// backup keeps a copy of the run's memory; the zero value if none does.
+	// backup is the engine that holds a copy of the run's KV cache; the zero value means
+	// none.
 	backup balance.Backup
-	// continuing is true once the run goes on from its copy.
+	// continuing is true once the run is resumed from its copy.
 	continuing bool
-	// lastEventID is the last event of a stream that went to the caller.
+	// lastEventID is the ID of the last stream event sent to the caller.
 	lastEventID string
-	// events is the number of events that went to the caller.
+	// events is the number of events sent to the caller.
 	events int
-	// duplicateEvents is the number of events that came again, and did not go to the caller.
+	// duplicateEvents is the number of events that were dropped because the caller already
+	// had them.
 	duplicateEvents int
-	// firstByte is the time until the first event, or until the head of another
-	// answer.
+	// firstByte is the time from the arrival of the request until the response header was
+	// sent: with the first event of a stream, or with the header of any other response.
 	firstByte time.Duration
-	// longestGap is the longest time between two events from the upstream.
+	// longestGap is the longest time between two events received from the upstream.
 	longestGap time.Duration
-	// timeouts is with the upstream of the present attempt.
+	// timeouts are those of the current attempt.
 	timeouts *timeouts
-	// loadRecorded is true once the load that rode on the present answer was noted.
+	// loadRecorded is true once the load reported in the header of the current response
+	// was recorded.
 	loadRecorded bool
-	// lastError is an upstream's own error that may yet be passed on.
+	// lastError is the latest error response of an upstream, which may still be relayed to
+	// the caller.
 	lastError *errorAnswer
-	// sentAt is when the present attempt began.
+	// sentAt is the time at which the current attempt began.
 	sentAt time.Time
-	// headAt is when the head of the present attempt's answer came; zero before.
+	// headAt is the time at which the response header of the current attempt arrived; zero
+	// before that.
 	headAt time.Time
-	// print is the zero value until it is asked for.
+	// print is the fingerprint of the request; the zero value until it is first needed.
 	print suspect.Print
-	// firstEventAt is when the first event of the present attempt came; zero before.
+	// firstEventAt is the time at which the first event of the current attempt arrived;
+	// zero before that.
 	firstEventAt time.Time
-	// quarantined is true while it is counted as a suspect that runs.
+	// quarantined is true while the request is registered as a running suspect.
 	quarantined bool
-	// succeeded is true once the request was answered with success.
+	// succeeded is true once the upstream answered with a success status: when the whole
+	// body of a stream has arrived, otherwise when the header is sent on.
 	succeeded bool
 }
 
-// serve carries one request from its caller to an upstream and back.
+// serve forwards one request to an upstream and the response back to the caller.
 func (s *Server) serve(c echo.Context) error {
 	now := s.now()
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
 	s.lastSeen.Store(now.UnixNano())
 	x := &request{
-		server: s,
-		w:      c.Response(),
-		r:      c.Request(),
-		call:   platform.DecodeCall(c.Request().Header),
-		startedAt:  now,
+		server:    s,
+		w:         c.Response(),
+		r:         c.Request(),
+		call:      platform.DecodeCall(c.Request().Header),
+		startedAt: now,
 	}
 	x.lastEventID = x.call.LastEvent
 	if stopping := s.stoppingAt.Load(); stopping != nil {
@@ -114,7 +122,7 @@
 	return nil
 }
 
-// admit holds the request against the configuration.
+// admit checks the request against the configuration.
 func (x *request) admit(now time.Time) *gateway.Refusal {
 	x.view = *x.server.view.Load()
 	a, refusal := gateway.Admit(now, x.view, gateway.Call{
@@ -128,7 +136,7 @@
 	return refusal
 }
 
-// hostOf is the host that the caller asks, without a port.
+// hostOf returns the requested host, without a port.
 func hostOf(r *http.Request) string {
 	if h, _, err := net.SplitHostPort(r.Host); err == nil {
 		return h
@@ -136,15 +144,15 @@
 	return r.Host
 }
 
-// remaining is the time until the request's deadline.
+// remaining returns the time until the request's deadline.
 func (x *request) remaining() time.Duration { return x.admission.Deadline.Sub(x.server.now()) }
 
-// connDeadline is the time by the connDeadline clock, for deadlines of connections.
+// connDeadline converts t to the monotonic clock, which deadlines of connections need.
 func (x *request) connDeadline(t time.Time) time.Time {
 	return clock.Deadline(t.Sub(x.server.now()))
 }
 
-// tryUpstreams tries upstreams until the request has its answer.
+// tryUpstreams makes attempts at upstreams until the request has a response.
 func (x *request) tryUpstreams(ctx context.Context) {
 	next := x.pick
 	for {
@@ -159,7 +167,7 @@
 			return
 		}
 		if x.remaining() <= 0 {
-			// The host stood still between the choice and now: nothing is sent late.
+			// The host was suspended since the choice; a request past its deadline is not sent.
 			x.releaseChoice(choice)
 			x.refuseOrAbort(gateway.TooLate(x.progress))
 			return
--- a/internal/edge/gatewayd/request_log.go
+++ b/internal/edge/gatewayd/request_log.go
@@ -9,7 +9,7 @@
 	"github.com/gladegauge/gladegauge/internal/core/gateway"
 )
 
-// Results of requests, in log lines and metrics.
+// Results of requests in log lines and metrics.
 const (
 	completed     = "completed"
 	refused       = "refused"
@@ -18,12 +18,12 @@
 	abortedPrefix = "cut_"
 )
 
-// log begins a line about this request.
+// log starts a log line about this request.
 func (x *request) log() *zerolog.Event {
 	return x.server.log.Info().Str("request", x.call.ID)
 }
 
-// logPick writes why the upstream was picked.
+// logPick logs why the upstream was picked.
 func (x *request) logPick(c balance.Choice) {
 	line := x.logChoice(c).
 		Int("attempt", len(x.tried)).
@@ -47,7 +47,7 @@
 	line.Msg("picked")
 }
 
-// logChoice begins a line about a choice, with what it rests on.
+// logChoice starts a log line about a choice, with the data that it is based on.
 func (x *request) logChoice(c balance.Choice) *zerolog.Event {
 	line := x.log().
 		Str("route", x.admission.Route.Name).
@@ -60,8 +60,8 @@
 	return line
 }
 
-// logBusy writes why the request was turned away: at the best upstream it would wait
-// for so long.
+// logBusy logs that the request was shed because its wait, even at the best upstream, would be
+// too long.
 func (x *request) logBusy(c balance.Choice) {
 	x.logChoice(c).
 		Dur("target", x.admission.Route.Target).
@@ -71,12 +71,12 @@
 		Msg("pool is too busy")
 }
 
-// logFailure writes how an attempt failed and whether another one follows.
+// logFailure logs how an attempt failed and whether another one follows.
 func (x *request) logFailure(c balance.Choice, f gateway.Failure, step gateway.Step, err error) {
 	line := x.log()
 	if f == gateway.Lost {
-		// It may be why the upstream broke off: the print tells whether it was there
-		// at other breaks, as another request by its identity.
+		// The request may have crashed the upstream. The fingerprint shows whether the same
+		// request was present at other crashes under another request ID.
 		line = line.Stringer("print", x.fingerprint()).Dur("since_head", x.sinceHead())
 	}
 	line.
@@ -90,8 +90,8 @@
 		Msg("attempt failed")
 }
 
-// sinceHead is how long ago the head of the present attempt's answer came; 0 if it did
-// not.
+// sinceHead returns the time since the response header of the current attempt arrived; 0 if
+// it has not arrived.
 func (x *request) sinceHead() time.Duration {
 	if x.headAt.IsZero() {
 		return 0
@@ -99,15 +99,15 @@
 	return x.server.now().Sub(x.headAt)
 }
 
-// logEnd writes the last line of a request and counts it.
+// logEnd logs the result of a request and updates the metrics.
 func (x *request) logEnd(result string, refusal *gateway.Refusal) {
 	kind := "none"
-	took := x.server.now().Sub(x.startedAt)
+	elapsed := x.server.now().Sub(x.startedAt)
 	if route := x.admission.Route; route != nil {
 		kind = route.Kind.String()
 		if result == completed {
 			observe(x.server.metrics.firstByte, kind, x.firstByte)
-			observe(x.server.metrics.completion, kind, took)
+			observe(x.server.metrics.completion, kind, elapsed)
 			if x.firstByte <= route.Target {
 				x.server.metrics.inTime.WithLabelValues(kind).Inc()
 			}
@@ -117,7 +117,7 @@
 	line := x.log().
 		Str("result", result).
 		Dur("first", x.firstByte).
-		Dur("took", took).
+		Dur("took", elapsed).
 		Dur("longest_gap", x.longestGap).
 		Int("events", x.events).
 		Int("sent", x.progress.Sent)
--- a/internal/edge/gatewayd/respond.go
+++ b/internal/edge/gatewayd/respond.go
@@ -9,7 +9,7 @@
 	"github.com/gladegauge/gladegauge/platform"
 )
 
-// statusOf is the HTTP status of a refusal.
+// statusOf returns the HTTP status of a refusal.
 func statusOf(k gateway.Kind) int {
 	switch k {
 	case gateway.Unavailable:
@@ -19,7 +19,7 @@
 	case gateway.Unauthorised:
 		return http.StatusUnauthorized
 	case gateway.Harmful:
-		// Ordinary clients do not repeat what got this answer.
+		// Common clients do not retry a request that got this status.
 		return http.StatusBadRequest
 	case gateway.TooLarge:
 		return http.StatusRequestEntityTooLarge
@@ -32,7 +32,8 @@
 	}
 }
 
-// refuseOrAbort answers with a refusal, or cuts an answer that cannot be completed.
+// refuseOrAbort responds with the refusal, or aborts a response that has already started and
+// cannot be completed.
 func (x *request) refuseOrAbort(refusal *gateway.Refusal) {
 	if x.progress.ResponseStarted {
 		x.abort(gateway.Lost)
@@ -43,20 +44,21 @@
 	x.refuse(refusal)
 }
 
-// withRetryAfter tells the caller when to come back if all upstreams rest, or have no turn.
+// withRetryAfter returns the refusal with the delay after which to retry, if all upstreams are
+// backing off or have no turn under their rate limits.
 func (x *request) withRetryAfter(refusal *gateway.Refusal) *gateway.Refusal {
-	var left time.Duration
+	var delay time.Duration
 	var limited bool
 	x.server.control.Must(func(now time.Time) {
-		left, limited = x.server.table.RetryAfter(now, x.admission.Pool, uint64(x.startedAt.UnixNano()))
+		delay, limited = x.server.table.RetryAfter(now, x.admission.Pool, uint64(x.startedAt.UnixNano()))
 	})
 	if limited {
-		return refusal.WithLimit(left)
+		return refusal.WithLimit(delay)
 	}
-	return refusal.WithRest(left)
+	return refusal.WithRest(delay)
 }
 
-// refuse answers in the gateway's own name.
+// refuse responds with a refusal of the gateway itself.
 func (x *request) refuse(refusal *gateway.Refusal) {
 	h := x.w.Header()
 	for name, values := range platform.RefusalHeader(x.call.ID, refusal.RetryAfter) {
@@ -67,14 +69,14 @@
 	h.Set("Content-Length", strconv.Itoa(len(text)))
 	x.w.WriteHeader(statusOf(refusal.Kind))
 	if _, err := x.w.Write([]byte(text)); err != nil {
-		x.log().Err(err).Msg("caller left before the refusal went out")
+		x.log().Err(err).Msg("caller disconnected before the refusal was written")
 	}
 	x.server.metrics.refusals.WithLabelValues(string(refusal.Reason)).Inc()
 	x.logEnd(refused, refusal)
 }
 
-// abort closes the caller's connection, so that a part never passes for the
-// whole. It does not return.
+// abort closes the caller's connection, so that the caller cannot take a partial response for
+// a complete one. It does not return.
 func (x *request) abort(f gateway.Failure) {
 	x.logEnd(abortedPrefix+f.String(), nil)
 	panic(http.ErrAbortHandler)
--- a/internal/edge/gatewayd/slow_test.go
+++ b/internal/edge/gatewayd/slow_test.go
@@ -20,8 +20,8 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// A caller that does not send its body gets its answer when the route's time is
-// over, and nothing was run.
+// A caller that does not send its body gets a response at the timeout of the route, and
+// nothing runs.
 func TestSlowBody(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1, fine)
@@ -33,8 +33,9 @@
 	is.Equal(len(w.ran()), 0)
 }
 
-// The read deadline of a body does not end a request that runs on.
-func TestBodyDeadlineEnds(t *testing.T) {
+// The read deadline for the body is lifted once the body was read: if it stayed, it would
+// cancel a request that is still running.
+func TestBodyDeadlineIsLifted(t *testing.T) {
 	is := is.New(t)
 	hold := make(chan struct{})
 	w := newWorld(t, 1, func(int, standin.Request) standin.Reply { return standin.Reply{Body: "ok", Hold: hold} })
@@ -48,8 +49,8 @@
 	is.Equal((<-done).Status, 200)
 }
 
-// Settings that are read again do not fill the retry budget.
-func TestReloadKeepsTheBudget(t *testing.T) {
+// Reloading the settings does not refill the retry budget.
+func TestReloadKeepsRetryBudget(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1, fine)
 	path := filepath.Join(t.TempDir(), "settings.conf")
@@ -68,9 +69,9 @@
 	is.True(!spend())
 }
 
-// While the newest configuration cannot be read, nothing proves the old one: a
-// key may have been taken away in it.
-func TestFaultyConfigurationProvesNothing(t *testing.T) {
+// While the newest configuration cannot be parsed, the one in force is not confirmed as
+// current: the newest one may have revoked a key.
+func TestFaultyConfigurationDoesNotConfirm(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1, fine)
 	w.store.PutRawConfig([]byte("{"))
@@ -87,8 +88,9 @@
 	is.True(w.server.view.Load().NewestAt.After(before))
 }
 
-// The first byte that counts is the one that the caller got.
-func TestFirstByteOfAReplacedError(t *testing.T) {
+// The time to the first byte is measured when the caller gets it, not when an error arrives
+// that is replaced by a retry.
+func TestFirstByteOfReplacedError(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 2, fine)
 	x := &request{server: w.server, startedAt: time.Now().Add(-time.Second), timeouts: &timeouts{}}
@@ -96,8 +98,8 @@
 	is.Equal(x.firstByte, time.Duration(0))
 }
 
-// An error that is too large to keep is logged with its cause.
-func TestLargeErrorHasACause(t *testing.T) {
+// An error response that is too large to be held is logged with its cause.
+func TestLargeErrorIsLoggedWithCause(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1, func(int, standin.Request) standin.Reply {
 		return standin.Reply{Status: 500, Body: strings.Repeat("x", holdBytes+1)}
@@ -107,7 +109,7 @@
 	is.True(strings.Contains(w.logs.String(), `"cause":"500 Internal Server Error with a body that could not be kept`))
 }
 
-// brokenPipe fails after the first write.
+// brokenPipe fails from the second write on.
 type brokenPipe struct{ writes int }
 
 func (b *brokenPipe) Write(p []byte) (int, error) {
@@ -118,16 +120,16 @@
 	return len(p), nil
 }
 
-// A failure to write is the caller's, a failure to read is not.
-func TestWhoseFailure(t *testing.T) {
+// Only write errors are attributed to the caller, not read errors.
+func TestCallerWriterFailure(t *testing.T) {
 	tests := []struct {
 		name   string
 		from   io.Reader
 		to     io.Writer
 		failed bool
 	}{
-		{"the caller left", strings.NewReader(strings.Repeat("x", 1<<20)), &brokenPipe{}, true},
-		{"the upstream broke off", iotest.TimeoutReader(strings.NewReader(strings.Repeat("x", 1<<20))), io.Discard, false},
+		{"the caller disconnected", strings.NewReader(strings.Repeat("x", 1<<20)), &brokenPipe{}, true},
+		{"the upstream failed", iotest.TimeoutReader(strings.NewReader(strings.Repeat("x", 1<<20))), io.Discard, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -140,9 +142,9 @@
 	}
 }
 
-// A read whose upstream is slow is asked of another one; if there is none, it waits
-// for its answer.
-func TestSlowAndAlone(t *testing.T) {
+// A read whose upstream is slow is moved to another one. If there is none, it keeps waiting
+// for the answer.
+func TestSlowUpstream(t *testing.T) {
 	for _, n := range []int{1, 2} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			is := is.New(t)
@@ -160,7 +162,7 @@
 			})
 			if n == 1 {
 				w.await(func() bool { return len(w.ran()) == 1 })
-				release := time.AfterFunc(900*time.Millisecond, func() { close(slow) }) // beyond 0.6 of the target
+				release := time.AfterFunc(900*time.Millisecond, func() { close(slow) }) // after 0.6 of the target, the answer timeout
 				defer release.Stop()
 			} else {
 				defer close(slow)
--- a/internal/edge/gatewayd/stall_timer.go
+++ b/internal/edge/gatewayd/stall_timer.go
@@ -7,25 +7,26 @@
 )
 
 const (
-	// maxTimerDelay is by how much a timer is late if the process stood still meanwhile: then
-	// it says nothing of the upstream, whose words may wait to be read.
+	// maxTimerDelay is the delay of a timer beyond which the process must have been suspended
+	// or stalled meanwhile. The timeout then proves nothing about the upstream, whose data may
+	// be waiting to be read.
 	maxTimerDelay = 50 * time.Millisecond
-	// resumeGrace is the time in which what came meanwhile is read.
+	// resumeGrace is the time to read the data that arrived while the process was stalled.
 	resumeGrace = 100 * time.Millisecond
 )
 
-// stallTimer is a timer that runs while an upstream says nothing. The time in which this
-// process stood still does not count.
+// stallTimer is a timeout on the silence of an upstream. If this process was suspended or
+// stalled itself when the timeout expired, it is extended.
 type stallTimer struct {
 	timer *time.Timer
 	now   func() time.Time
-	// deadline is when it runs out, in nanoseconds since 1970.
+	// deadline is the time of expiry in nanoseconds since 1970.
 	deadline atomic.Int64
-	// onExpire is called when it has run onExpire.
+	// onExpire is called on expiry.
 	onExpire func()
 }
 
-// newStallTimer begins one.
+// newStallTimer returns a running timer.
 func newStallTimer(d time.Duration, now func() time.Time, onExpire func()) *stallTimer {
 	s := &stallTimer{now: now, onExpire: onExpire}
 	s.timer = time.AfterFunc(math.MaxInt64, s.expire)
@@ -33,7 +34,8 @@
 	return s
 }
 
-// expire waits for a moment more if the process stood still when the time was over.
+// expire calls onExpire, or extends the timer by resumeGrace if the process was stalled when it
+// should have expired.
 func (s *stallTimer) expire() {
 	if late := s.now().UnixNano() - s.deadline.Load(); late > int64(maxTimerDelay) {
 		s.reset(resumeGrace)
@@ -42,11 +44,9 @@
 	s.onExpire()
 }
 
-// reset begins it anew.
 func (s *stallTimer) reset(d time.Duration) {
 	s.deadline.Store(s.now().Add(d).UnixNano())
 	s.timer.Reset(d)
 }
 
-// stop ends it.
 func (s *stallTimer) stop() { s.timer.Stop() }
--- a/internal/edge/gatewayd/stream.go
+++ b/internal/edge/gatewayd/stream.go
@@ -13,23 +13,22 @@
 	"github.com/gladegauge/gladegauge/internal/core/gateway"
 )
 
-// heardInterval is how often a running stream tells that its upstream lives.
+// heardInterval is how often a running stream reports that its upstream is alive.
 const heardInterval = 200 * time.Millisecond
 
-// relayStream passes on whole events as they come. After a break the events
-// that the caller has are never sent again, whatever the next upstream begins with: one that
-// goes on after the last event of its run sends that one once more. A part of an event was
-// never sent.
+// relayStream forwards whole events as they arrive; partial events are never forwarded. After
+// a failover, events that the caller already has are dropped, whatever event the next upstream
+// starts with: an upstream that resumes after the last event of its run repeats that event.
 func (x *request) relayStream(ctx context.Context, a answer) (gateway.Failure, error) {
 	br := readerPool.Get().(*bufio.Reader)
 	br.Reset(a)
 	defer readerPool.Put(br)
 	out := http.NewResponseController(x.w)
-	began := false
-	// behind is true until an event comes that the caller does not have yet.
-	behind := x.events > 0
-	heard := x.server.now()
-	last := heard
+	started := false
+	// skipping is true until an event arrives that the caller does not have yet.
+	skipping := x.events > 0
+	reportedAt := x.server.now()
+	lastAt := reportedAt
 	var gaps balance.Gaps
 	for {
 		e, err := readEvent(br)
@@ -43,31 +42,31 @@
 		}
 		now := x.server.now()
 		x.timeouts.eventReceived()
-		if !began {
-			began = true
+		if !started {
+			started = true
 			x.firstEventAt = now
 			x.answerStarted(a)
-			heard = now
-			last = now
+			reportedAt = now
+			lastAt = now
 		}
-		if now != last {
-			gaps = gaps.With(now.Sub(last))
-			x.longestGap = max(x.longestGap, now.Sub(last))
-			last = now
+		if now != lastAt {
+			gaps = gaps.With(now.Sub(lastAt))
+			x.longestGap = max(x.longestGap, now.Sub(lastAt))
+			lastAt = now
 		}
-		if now.Sub(heard) >= heardInterval {
-			heard = now
-			told := gaps
+		if now.Sub(reportedAt) >= heardInterval {
+			reportedAt = now
+			reported := gaps
 			gaps = balance.Gaps{}
-			x.server.control.Must(func(now time.Time) { x.server.table.Heard(now, a.choice.ID, told) })
+			x.server.control.Must(func(now time.Time) { x.server.table.Heard(now, a.choice.ID, reported) })
 		}
 		x.commitStream(a)
-		if behind && !e.follows(x.lastEventID) {
+		if skipping && !e.follows(x.lastEventID) {
 			x.duplicateEvents++
 			x.timeouts.eventSent()
 			continue
 		}
-		behind = false
+		skipping = false
 		if err := x.send(out, e); err != nil {
 			return gateway.CallerGone, err
 		}
@@ -75,15 +74,15 @@
 	}
 }
 
-// commitStream sends the head of the answer, unless an earlier upstream's went
-// to the caller.
+// commitStream sends the response header, unless that of an earlier upstream was already
+// sent.
 func (x *request) commitStream(a answer) {
 	if !x.progress.ResponseStarted {
 		x.commit(a.StatusCode, a.Header, -1)
 	}
 }
 
-// send passes on one event.
+// send writes one event to the caller and flushes it.
 func (x *request) send(out *http.ResponseController, e event) error {
 	if _, err := x.w.Write(e.raw); err != nil {
 		return errors.WithStack(err)
--- a/internal/edge/gatewayd/timeouts.go
+++ b/internal/edge/gatewayd/timeouts.go
@@ -10,39 +10,38 @@
 )
 
 const (
-	// answerTimeoutShare is the part of the target after which an upstream that
-	// says nothing is given up for another one, where the request may repeat.
+	// answerTimeoutShare is the fraction of the route's target after which a repeatable
+	// request is moved from an upstream that has not answered to another one.
 	answerTimeoutShare = 0.6
-	// minStreamTimeout is the least time without a word from a model engine, to any
-	// request, after which it is given up for one whose stream has not begun. Long
-	// prompts and full batches are slow without being broken, but a batch that
-	// lives says something every few steps.
+	// minStreamTimeout is the minimum time for which a model engine must have sent nothing to
+	// any request before a request whose stream has not begun is moved elsewhere. Long
+	// prompts and full batches are slow without a fault, but a running batch produces output
+	// every few steps.
 	minStreamTimeout = time.Second
-	// gapTimeoutFactor is how many pause targets a stream may say nothing before it
-	// goes on from the copy of its run. Callers give up a silent stream some time
-	// after that; busy engines that are well pause for longer than one.
+	// gapTimeoutFactor is the number of pause targets for which a stream may be silent before
+	// it is resumed from the copy of its run. Busy but healthy engines pause for longer than
+	// one target; callers give up a silent stream some time after this timeout.
 	gapTimeoutFactor = 3
 )
 
-// errSilent ends an attempt at an upstream that says nothing.
-var errSilent = errors.New("the upstream says nothing")
+// errSilent is the cause with which an attempt is cancelled after a timeout.
+var errSilent = errors.New("the upstream sent nothing in time")
 
-// timeouts ends an attempt whose upstream says nothing for too long.
+// timeouts cancels an attempt whose upstream sends nothing for too long.
 type timeouts struct {
 	cancel func()
-	// now is the present time.
+	// now returns the current time.
 	now func() time.Time
-	// answer runs until the answer begins; nil if the request goes to no other
+	// answer runs until the answer starts; nil if the request may not be moved to another
 	// upstream.
 	answer *stallTimer
-	// gapTimeout is how long a stream may say nothing after an event; 0 for any
-	// time.
+	// gapTimeout is the maximum silence of a stream after an event; 0 means unlimited.
 	gapTimeout time.Duration
-	// gap runs while the next event is waited for; nil before the first one.
+	// gap runs while the next event is awaited; nil until the first event was sent on.
 	gap *stallTimer
 }
 
-// newTimeouts begins to wait for the answer of an attempt.
+// newTimeouts starts the timeout for the answer of an attempt.
 func (x *request) newTimeouts(choice balance.Choice, end context.CancelCauseFunc) *timeouts {
 	p := &timeouts{
 		cancel:     func() { end(errSilent) },
@@ -60,32 +59,33 @@
 	return p
 }
 
-// onAnswerTimeout waits on for the answer of an upstream that says nothing if there is
-// no other one to ask.
+// onAnswerTimeout cancels an attempt that was not answered in time, if another upstream is
+// available. Otherwise the request keeps waiting.
 func (x *request) onAnswerTimeout(p *timeouts) {
-	other := false
-	x.server.control.Must(func(now time.Time) { other = x.server.table.MayPick(now, x.balanceRequest()) })
-	if other {
+	available := false
+	x.server.control.Must(func(now time.Time) { available = x.server.table.MayPick(now, x.balanceRequest()) })
+	if available {
 		p.cancel()
 	}
 }
 
-// onFirstEventTimeout waits on for the first event of a stream while its engine talks to
-// others: the request waits its turn there, and would be read again elsewhere.
+// onFirstEventTimeout cancels an attempt whose stream did not begin in time, unless its engine
+// sends events to other requests. In that case the request is queued there, and another engine
+// would have to prefill its prompt again.
 func (x *request) onFirstEventTimeout(p *timeouts, choice balance.Choice, limit time.Duration) {
-	var left time.Duration
+	var remaining time.Duration
 	x.server.control.Must(func(now time.Time) {
-		left = limit - x.server.table.SilentFor(now, choice)
+		remaining = limit - x.server.table.SilentFor(now, choice)
 	})
-	if left <= 0 {
+	if remaining <= 0 {
 		p.cancel()
 		return
 	}
-	p.answer.reset(left)
+	p.answer.reset(remaining)
 }
 
-// answerTimeout is how long the upstream may say nothing before another one gets
-// the request; false if none may.
+// answerTimeout returns the time without an answer after which the request is moved to another
+// upstream; false if it may not be moved.
 func (x *request) answerTimeout() (time.Duration, bool) {
 	route := x.admission.Route
 	if !route.MayRepeat() || !x.progress.Replayable || x.progress.Sent+1 >= route.MaxAttempts || route.Target == 0 {
@@ -98,8 +98,8 @@
 	return d, true
 }
 
-// gapTimeout is how long a stream may say nothing after an event before it goes
-// on from the copy of its run; 0 if there is no copy, or any pause will do.
+// gapTimeout returns the silence of a stream after which it is resumed from the copy of its
+// run; 0 if there is no copy or the route has no pause target.
 func (x *request) gapTimeout() time.Duration {
 	if !x.progress.HasBackup {
 		return 0
@@ -107,15 +107,16 @@
 	return gapTimeoutFactor * x.admission.Route.PauseTarget
 }
 
-// answerStarted notes the first event of a stream, or the head of another answer.
+// answerStarted stops the timeout for the answer: the first event of a stream arrived, or the
+// header of any other answer.
 func (p *timeouts) answerStarted() {
 	if p.answer != nil {
 		p.answer.stop()
 	}
 }
 
-// eventSent notes that an event of a stream went to the caller: the next one is
-// waited for.
+// eventSent starts the timeout for the next event of a stream, after the previous one was sent
+// to the caller.
 func (p *timeouts) eventSent() {
 	switch {
 	case p.gapTimeout == 0:
@@ -126,15 +127,15 @@
 	}
 }
 
-// eventReceived notes an event of a stream. Until it went to the caller, who may be
-// slow, the upstream is not waited for.
+// eventReceived stops the timeout for the next event of a stream. It does not run again until
+// the event was sent to the caller, so that a slow caller does not count as a silent upstream.
 func (p *timeouts) eventReceived() {
 	if p.gap != nil {
 		p.gap.stop()
 	}
 }
 
-// stop ends the waiting.
+// stop stops all timeouts.
 func (p *timeouts) stop() {
 	p.answerStarted()
 	if p.gap != nil {
