--- a/internal/edge/gatewayd/attempt.go
+++ b/internal/edge/gatewayd/attempt.go
@@ -11,27 +11,27 @@
 	"github.com/gladegauge/gladegauge/platform"
 )
 
-// attempt sends the request to one upstream. It returns None when the caller
-// has the whole answer.
+// attempt sends the request to one upstream. It returns None once the caller has the whole
+// response.
 func (x *request) attempt(ctx context.Context, choice balance.Choice) (gateway.Failure, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	x.loadTold = false
+	x.loadRecorded = false
 	x.sentAt = x.server.now()
 	x.headAt = time.Time{}
-	x.firstAt = time.Time{}
-	x.patience = x.newPatience(choice, cancel)
-	defer x.patience.stop()
+	x.firstEventAt = time.Time{}
+	x.timeouts = x.newTimeouts(choice, cancel)
+	defer x.timeouts.stop()
 	got, err := x.server.client.Do(ctx, exchange.Call{
 		Address:    choice.Address,
 		Request:    x.upstreamRequest(choice, x.sentAt),
 		Matches:    x.owns,
-		OnResponse: func(r *http.Response) { x.notice(choice, r) },
-		Permitted:  func() bool { return x.may(choice) },
+		OnResponse: func(r *http.Response) { x.handleNotice(choice, r) },
+		Permitted:  func() bool { return x.maySend(choice) },
 	})
 	if err != nil {
 		failure := x.failureOf(ctx, err)
-		x.settle(choice, outcomeOf(failure, err), nil)
+		x.finishAttempt(choice, outcomeOf(failure, err), nil)
 		return failure, err
 	}
 	x.headAt = x.server.now()
@@ -44,18 +44,18 @@
 		a.Abort()
 	}
 	load := a.head.Load
-	if x.loadTold {
-		// It was reported when the answer began, and is old by now.
+	if x.loadRecorded {
+		// The load was recorded when the response started, and is out of date by now.
 		load = nil
 	}
-	x.settle(choice, outcomeOfAnswer(failure, err, a.StatusCode), load)
+	x.finishAttempt(choice, outcomeOfAnswer(failure, err, a.StatusCode), load)
 	return failure, err
 }
 
-// may is the last look before the first byte goes out: while a connection was made, the
-// upstream may have said to others that it leaves, wants rest, or has a limit that this
-// request has no turn of.
-func (x *request) may(choice balance.Choice) bool {
+// maySend is checked immediately before the first byte is written. While the connection was
+// being established, the upstream may have announced to other requests that it is leaving,
+// that gateways should back off, or a rate limit of which this request has no turn.
+func (x *request) maySend(choice balance.Choice) bool {
 	closed := *x.server.closed.Load()
 	if len(closed) == 0 {
 		return true
@@ -64,22 +64,21 @@
 	return !closed.Has(now, choice.Start()) && (choice.Turn || !closed.Limited(now, choice.Start()))
 }
 
-// giveBack takes back a choice that nothing was sent to.
-func (x *request) giveBack(choice balance.Choice) {
+// releaseChoice reverts a choice to which nothing was sent.
+func (x *request) releaseChoice(choice balance.Choice) {
 	x.server.control.DoWithoutCancel(func(now time.Time) {
 		x.server.table.Ended(now, choice, balance.Abandoned, balance.Answer{})
 	})
 }
 
-// owns reports whether an answer belongs to this request. Refusals may lack
-// the identity.
+// owns reports whether an answer belongs to this request. Refusals may lack the request ID.
 func (x *request) owns(r *http.Response) bool {
 	a := platform.DecodeAnswer(r.StatusCode, r.Header)
 	return x.call.ID == "" || a.ID == x.call.ID || (a.ID == "" && !a.Sealed)
 }
 
-// settle tells the control goroutine what became of the attempt.
-func (x *request) settle(choice balance.Choice, o balance.Outcome, load *balance.Load) {
+// finishAttempt records the outcome of the attempt in the control goroutine.
+func (x *request) finishAttempt(choice balance.Choice, o balance.Outcome, load *balance.Load) {
 	tokens := 0
 	if p, ok := x.view.Table.Pool(x.admission.Pool); ok && p.Engine != nil {
 		tokens = x.events * p.Engine.EventTokens
@@ -87,15 +86,16 @@
 	x.server.metrics.attempt(choice, o)
 	survived := x.survived(o)
 	if survived {
-		// Not in the control goroutine: it takes some microseconds.
-		x.printed()
+		// Computed here because hashing takes several microseconds, which would block the
+		// control goroutine.
+		x.fingerprint()
 	}
 	x.server.control.DoWithoutCancel(func(now time.Time) {
 		if o == balance.Dead || o == balance.Replaced {
 			x.server.recordUpstreamEnd(now, choice.Instance, o)
 		}
 		if survived {
-			x.server.suspects.ReportSuccess(now, x.printed(), x.call.ID)
+			x.server.suspects.ReportSuccess(now, x.fingerprint(), x.call.ID)
 		}
 		x.server.table.Ended(now, choice, o, balance.Answer{Tokens: tokens, LongestGap: x.longestGap, Load: load})
 		if load != nil {
@@ -104,10 +104,11 @@
 	})
 }
 
-// answerBegan notes the first event of a stream, or the head of another answer.
-func (x *request) answerBegan(a answer) {
-	x.patience.answerBegan()
-	x.loadTold = true
+// answerStarted records the arrival of the first event of a stream, or of the header of any
+// other answer.
+func (x *request) answerStarted(a answer) {
+	x.timeouts.answerStarted()
+	x.loadRecorded = true
 	x.server.control.DoWithoutCancel(func(now time.Time) {
 		x.server.table.Began(now, a.choice)
 		if a.head.Load != nil {
--- a/internal/edge/gatewayd/pick.go
+++ b/internal/edge/gatewayd/pick.go
@@ -7,7 +7,8 @@
 	"github.com/gladegauge/gladegauge/internal/core/ingress"
 )
 
-// pick asks the control goroutine for an upstream.
+// pick chooses an upstream for the next attempt. If there is none, it tries to borrow a turn of
+// a rate-limited upstream from another gateway.
 func (x *request) pick() (balance.Choice, bool) {
 	var choice balance.Choice
 	var ok bool
@@ -15,27 +16,27 @@
 		if len(x.tried) == 0 {
 			x.server.budget(x.admission.Pool).Request(now)
 		}
-		choice, ok = x.server.table.Pick(now, x.wants())
+		choice, ok = x.server.table.Pick(now, x.balanceRequest())
 	})
 	if !ok && choice.RetryAfter == 0 {
 		choice, ok = x.borrow()
 	}
-	return x.picked(choice, ok)
+	return x.recordChoice(choice, ok)
 }
 
-// fromBackup asks for the engine that keeps a copy of the run's memory.
-func (x *request) fromBackup() (balance.Choice, bool) {
+// pickBackup chooses the engine that holds a copy of the run's KV cache.
+func (x *request) pickBackup() (balance.Choice, bool) {
 	var choice balance.Choice
 	var ok bool
 	x.continuing = true
 	x.server.control.DoWithoutCancel(func(now time.Time) {
-		choice, ok = x.server.table.Continue(now, x.wants(), x.backup)
+		choice, ok = x.server.table.Continue(now, x.balanceRequest(), x.backup)
 	})
-	return x.picked(choice, ok)
+	return x.recordChoice(choice, ok)
 }
 
-// picked notes a choice.
-func (x *request) picked(choice balance.Choice, ok bool) (balance.Choice, bool) {
+// recordChoice records and logs a choice, unless ok is false.
+func (x *request) recordChoice(choice balance.Choice, ok bool) (balance.Choice, bool) {
 	if ok {
 		x.tried = append(x.tried, choice.ID)
 		x.logPick(choice)
@@ -43,8 +44,9 @@
 	return choice, ok
 }
 
-// wants is the request as the choice of an upstream sees it.
-func (x *request) wants() balance.Request {
+// balanceRequest returns the properties of the request that the choice of an upstream
+// depends on.
+func (x *request) balanceRequest() balance.Request {
 	route := x.admission.Route
 	return balance.Request{
 		Route:        route.Name,
@@ -59,11 +61,12 @@
 		Exclude:      x.tried,
 		Least:        x.view.Table.IsLeastUrgent(x.admission.Organisation, route, x.admission.Pool),
 		Isolate:      x.progress.Suspect,
-		Hash:         uint64(x.began.UnixNano()),
+		Hash:         uint64(x.startedAt.UnixNano()),
 	}
 }
 
-// organisation is the name of who sends the request; empty on public routes.
+// organisation returns the name of the organisation that sent the request; empty on public
+// routes.
 func (x *request) organisation() string {
 	if o := x.admission.Organisation; o != nil {
 		return o.Name
@@ -71,8 +74,8 @@
 	return ""
 }
 
-// spend takes a retry from the budget of the request's pool.
-func (x *request) spend() bool {
+// spendRetry takes a retry from the pool's retry budget and reports whether one was left.
+func (x *request) spendRetry() bool {
 	ok := false
 	gateways := 0
 	x.server.control.DoWithoutCancel(func(now time.Time) {
--- a/internal/edge/gatewayd/request.go
+++ b/internal/edge/gatewayd/request.go
@@ -17,76 +17,84 @@
 )
 
 const (
-	// answerSlack is how long after its deadline a request is still held, so
-	// that the upstream's own word on the deadline can come.
-	answerSlack = 50 * time.Millisecond
-	// writeSlack is how much longer a caller may take to read its answer.
-	writeSlack = 2 * time.Second
+	// deadlineGrace is how long a request is kept open after its deadline, so that the
+	// upstream's own timeout response can still arrive.
+	deadlineGrace = 50 * time.Millisecond
+	// writeGrace is how long after the deadline a caller may still read its response.
+	writeGrace = 2 * time.Second
 )
 
-// request is one caller's request on its way.
+// request is the state of one caller's request.
 type request struct {
 	server *Server
 	w      *echo.Response
 	r      *http.Request
 	call   platform.Call
-	// view is the configuration that admitted the request; it holds to the end.
+	// view is the configuration that admitted the request; it applies until the request
+	// ends.
 	view      ingress.View
 	admission gateway.Admission
 	progress  gateway.Progress
 	body      body
-	began     time.Time
-	// tried are the upstreams that were picked.
+	startedAt time.Time
+	// tried are the IDs of the upstreams picked so far.
 	tried []string
-	// backup keeps a copy of the run's memory; the zero value if none does.
+	// backup is the engine that holds a copy of the run's KV cache; the zero value means
+	// none.
 	backup balance.Backup
-	// continuing is true once the run goes on from its copy.
+	// continuing is true once the run is resumed from its copy.
 	continuing bool
-	// lastEvent is the last event of a stream that went to the caller.
-	lastEvent string
-	// events is the number of events that went to the caller.
+	// lastEventID is the ID of the last stream event sent to the caller.
+	lastEventID string
+	// events is the number of events sent to the caller.
 	events int
-	// repeated is the number of events that came again, and did not go to the caller.
-	repeated int
-	// firstByte is the time until the first event, or until the head of another
-	// answer.
+	// duplicateEvents is the number of events that were dropped because the caller already
+	// had them.
+	duplicateEvents int
+	// firstByte is the time from the arrival of the request until the response header was
+	// sent: with the first event of a stream, or with the header of any other response.
 	firstByte time.Duration
-	// longestGap is the longest time between two events from the upstream.
+	// longestGap is the longest time between two events received from the upstream.
 	longestGap time.Duration
-	// patience is with the upstream of the present attempt.
-	patience *patience
-	// loadTold is true once the load that rode on the present answer was noted.
-	loadTold bool
-	// faulty is an upstream's own error that may yet be passed on.
-	faulty *errorAnswer
-	// sentAt is when the present attempt began.
+	// timeouts are those of the current attempt.
+	timeouts *timeouts
+	// loadRecorded is true once the load reported in the header of the current response
+	// was recorded.
+	loadRecorded bool
+	// lastError is the latest error response of an upstream, which may still be relayed to
+	// the caller.
+	lastError *errorAnswer
+	// sentAt is the time at which the current attempt began.
 	sentAt time.Time
-	// headAt is when the head of the present attempt's answer came; zero before.
+	// headAt is the time at which the response header of the current attempt arrived; zero
+	// before that.
 	headAt time.Time
-	// print is the zero value until it is asked for.
+	// print is the fingerprint of the request; the zero value until it is first needed.
 	print suspect.Print
-	// firstAt is when the first event of the present attempt came; zero before.
-	firstAt time.Time
-	// quarantined is true while it is counted as a suspect that runs.
+	// firstEventAt is the time at which the first event of the current attempt arrived;
+	// zero before that.
+	firstEventAt time.Time
+	// quarantined is true while the request is registered as a running suspect.
 	quarantined bool
-	// sound is true once the request was answered with success.
-	sound bool
+	// succeeded is true once the upstream answered with a success status: when the whole
+	// body of a stream has arrived, otherwise when the header is sent on.
+	succeeded bool
 }
 
-// serve carries one request from its caller to an upstream and back.
+// serve forwards one request to an upstream and the response back to the caller.
 func (s *Server) serve(c echo.Context) error {
 	now := s.now()
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
 	s.lastRequestAt.Store(now.UnixNano())
 	x := &request{
-		server: s,
-		w:      c.Response(),
-		r:      c.Request(),
-		call:   platform.DecodeCall(c.Request().Header),
-		began:  now,
+		server:    s,
+		w:         c.Response(),
+		r:         c.Request(),
+		call:      platform.DecodeCall(c.Request().Header),
+		startedAt: now,
 	}
-	x.lastEvent = x.call.LastEvent
+	x.lastEventID = x.call.LastEvent
 	if stopping := s.stoppingAt.Load(); stopping != nil {
 		x.w.Header().Set("Connection", "close")
 		if now.Sub(*stopping) > s.o.Stop.RejectAfter {
@@ -98,23 +106,23 @@
 		x.refuse(refusal)
 		return nil
 	}
-	_ = http.NewResponseController(x.w).SetWriteDeadline(x.steady(x.admission.Deadline.Add(writeSlack)))
+	_ = http.NewResponseController(x.w).SetWriteDeadline(x.connDeadline(x.admission.Deadline.Add(writeGrace)))
 	if refusal := x.readBody(); refusal != nil {
 		x.refuse(refusal)
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(x.r.Context(), x.left()+answerSlack)
+	ctx, cancel := context.WithTimeout(x.r.Context(), x.remaining()+deadlineGrace)
 	defer cancel()
 	if refusal := x.checkSuspect(); refusal != nil {
 		x.refuse(refusal)
 		return nil
 	}
 	defer x.releaseSuspect()
-	x.attempts(ctx)
+	x.tryUpstreams(ctx)
 	return nil
 }
 
-// admit holds the request against the configuration.
+// admit checks the request against the configuration.
 func (x *request) admit(now time.Time) *gateway.Refusal {
 	x.view = *x.server.view.Load()
 	a, refusal := gateway.Admit(now, x.view, gateway.Call{
@@ -128,7 +136,7 @@
 	return refusal
 }
 
-// hostOf is the host that the caller asks, without a port.
+// hostOf returns the requested host, without a port.
 func hostOf(r *http.Request) string {
 	if h, _, err := net.SplitHostPort(r.Host); err == nil {
 		return h
@@ -136,32 +144,32 @@
 	return r.Host
 }
 
-// left is the time until the request's deadline.
-func (x *request) left() time.Duration { return x.admission.Deadline.Sub(x.server.now()) }
+// remaining returns the time until the request's deadline.
+func (x *request) remaining() time.Duration { return x.admission.Deadline.Sub(x.server.now()) }
 
-// steady is the time by the steady clock, for deadlines of connections.
-func (x *request) steady(t time.Time) time.Time {
+// connDeadline converts t to the monotonic clock, which deadlines of connections need.
+func (x *request) connDeadline(t time.Time) time.Time {
 	return clock.Deadline(t.Sub(x.server.now()))
 }
 
-// attempts tries upstreams until the request has its answer.
-func (x *request) attempts(ctx context.Context) {
+// tryUpstreams makes attempts at upstreams until the request has a response.
+func (x *request) tryUpstreams(ctx context.Context) {
 	next := x.pick
 	for {
 		choice, ok := next()
 		if choice.RetryAfter > 0 {
 			x.logBusy(choice)
-			x.end(gateway.Busy(choice.RetryAfter))
+			x.refuseOrAbort(gateway.Busy(choice.RetryAfter))
 			return
 		}
 		if !ok {
-			x.end(gateway.NoUpstreamLeft(x.server.now(), x.admission, x.progress))
+			x.refuseOrAbort(gateway.NoUpstreamLeft(x.server.now(), x.admission, x.progress))
 			return
 		}
-		if x.left() <= 0 {
-			// The host stood still between the choice and now: nothing is sent late.
-			x.giveBack(choice)
-			x.end(gateway.TooLate(x.progress))
+		if x.remaining() <= 0 {
+			// The host was suspended since the choice; a request past its deadline is not sent.
+			x.releaseChoice(choice)
+			x.refuseOrAbort(gateway.TooLate(x.progress))
 			return
 		}
 		x.backup = choice.Backup
@@ -178,7 +186,7 @@
 			x.refuse(gateway.CrashesUpstreams(true))
 			return
 		}
-		step := gateway.Next(now, x.admission, x.progress, failure, x.spend)
+		step := gateway.Next(now, x.admission, x.progress, failure, x.spendRetry)
 		x.logFailure(choice, failure, step, err)
 		switch step.Do {
 		case gateway.Retry:
@@ -187,16 +195,16 @@
 				x.server.metrics.resumes.Inc()
 			}
 		case gateway.Continue:
-			next = x.fromBackup
+			next = x.pickBackup
 			x.server.metrics.continues.Inc()
 		case gateway.Relay:
 			x.relayError()
 			return
 		case gateway.Refuse:
-			x.end(step.Refusal)
+			x.refuseOrAbort(step.Refusal)
 			return
 		case gateway.Abort:
-			x.cut(failure)
+			x.abort(failure)
 		}
 	}
 }
--- a/internal/edge/gatewayd/suspects.go
+++ b/internal/edge/gatewayd/suspects.go
@@ -36,7 +36,7 @@
 	if !x.server.suspects.Any() {
 		return nil
 	}
-	p := x.printed()
+	p := x.fingerprint()
 	v := suspect.Free
 	x.server.control.DoWithoutCancel(func(now time.Time) { v = x.server.suspects.Admit(now, p) })
 	switch v {
@@ -55,19 +55,19 @@
 // releaseSuspect records that a quarantined request no longer runs.
 func (x *request) releaseSuspect() {
 	if x.quarantined {
-		x.server.control.DoWithoutCancel(func(time.Time) { x.server.suspects.Release(x.printed()) })
+		x.server.control.DoWithoutCancel(func(time.Time) { x.server.suspects.Release(x.fingerprint()) })
 	}
 }
 
 // survived reports whether the attempt showed that the request does not crash its
 // upstream: it was answered with success, or ran for long.
 func (x *request) survived(o balance.Outcome) bool {
-	return (o == balance.Completed && x.sound) || x.ranForLong()
+	return (o == balance.Completed && x.succeeded) || x.ranForLong()
 }
 
 // ranForLong reports whether the stream of the current attempt ran for long.
 func (x *request) ranForLong() bool {
-	return !x.firstAt.IsZero() && x.server.now().Sub(x.firstAt) >= suspects.HarmlessAfter
+	return !x.firstEventAt.IsZero() && x.server.now().Sub(x.firstEventAt) >= suspects.HarmlessAfter
 }
 
 // checkLost checks whether the upstream ended while it ran the request, and returns the
@@ -78,7 +78,7 @@
 	}
 	s := x.server
 	lost := suspects.Failure{
-		Print: x.printed(), Request: x.call.ID, Organisation: x.organisation(),
+		Print: x.fingerprint(), Request: x.call.ID, Organisation: x.organisation(),
 		Start: c.Start(), Upstream: c.ID, Ran: s.now().Sub(x.sentAt),
 	}
 	leaving, known := false, false
--- /dev/null
+++ b/internal/edge/gatewayd/timeouts.go
@@ -0,0 +1,144 @@
+package gatewayd
+
+import (
+	"context"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/gladegauge/gladegauge/internal/core/balance"
+)
+
+const (
+	// answerTimeoutShare is the fraction of the route's target after which a repeatable
+	// request is moved from an upstream that has not answered to another one.
+	answerTimeoutShare = 0.6
+	// minStreamTimeout is the minimum time for which a model engine must have sent nothing to
+	// any request before a request whose stream has not begun is moved elsewhere. Long
+	// prompts and full batches are slow without a fault, but a running batch produces output
+	// every few steps.
+	minStreamTimeout = time.Second
+	// gapTimeoutFactor is the number of pause targets for which a stream may be silent before
+	// it is resumed from the copy of its run. Busy but healthy engines pause for longer than
+	// one target; callers give up a silent stream some time after this timeout.
+	gapTimeoutFactor = 3
+)
+
+// errSilent is the cause with which an attempt is cancelled after a timeout.
+var errSilent = errors.New("the upstream sent nothing in time")
+
+// timeouts cancels an attempt whose upstream sends nothing for too long.
+type timeouts struct {
+	cancel func()
+	// now returns the current time.
+	now func() time.Time
+	// answer runs until the answer starts; nil if the request may not be moved to another
+	// upstream.
+	answer *stallTimer
+	// gapTimeout is the maximum silence of a stream after an event; 0 means unlimited.
+	gapTimeout time.Duration
+	// gap runs while the next event is awaited; nil until the first event was sent on.
+	gap *stallTimer
+}
+
+// newTimeouts starts the timeout for the answer of an attempt.
+func (x *request) newTimeouts(choice balance.Choice, end context.CancelCauseFunc) *timeouts {
+	p := &timeouts{
+		cancel:     func() { end(errSilent) },
+		now:        x.server.now,
+		gapTimeout: x.gapTimeout(),
+	}
+	d, ok := x.answerTimeout()
+	switch {
+	case !ok:
+	case x.call.Prompt.Tokens > 0:
+		p.answer = newStallTimer(d, p.now, func() { x.onFirstEventTimeout(p, choice, d) })
+	default:
+		p.answer = newStallTimer(d, p.now, func() { x.onAnswerTimeout(p) })
+	}
+	return p
+}
+
+// onAnswerTimeout cancels an attempt that was not answered in time, if another upstream is
+// available. Otherwise the request keeps waiting.
+func (x *request) onAnswerTimeout(p *timeouts) {
+	available := false
+	x.server.control.DoWithoutCancel(func(now time.Time) { available = x.server.table.MayPick(now, x.balanceRequest()) })
+	if available {
+		p.cancel()
+	}
+}
+
+// onFirstEventTimeout cancels an attempt whose stream did not begin in time, unless its engine
+// sends events to other requests. In that case the request is queued there, and another engine
+// would have to prefill its prompt again.
+func (x *request) onFirstEventTimeout(p *timeouts, choice balance.Choice, limit time.Duration) {
+	var remaining time.Duration
+	x.server.control.DoWithoutCancel(func(now time.Time) {
+		remaining = limit - x.server.table.SilentFor(now, choice)
+	})
+	if remaining <= 0 {
+		p.cancel()
+		return
+	}
+	p.answer.reset(remaining)
+}
+
+// answerTimeout returns the time without an answer after which the request is moved to another
+// upstream; false if it may not be moved.
+func (x *request) answerTimeout() (time.Duration, bool) {
+	route := x.admission.Route
+	if !route.MayRepeat() || !x.progress.Replayable || x.progress.Sent+1 >= route.MaxAttempts || route.Target == 0 {
+		return 0, false
+	}
+	d := time.Duration(answerTimeoutShare * float64(route.Target))
+	if x.call.Prompt.Tokens > 0 {
+		d = max(2*route.Target, minStreamTimeout)
+	}
+	return d, true
+}
+
+// gapTimeout returns the silence of a stream after which it is resumed from the copy of its
+// run; 0 if there is no copy or the route has no pause target.
+func (x *request) gapTimeout() time.Duration {
+	if !x.progress.HasBackup {
+		return 0
+	}
+	return gapTimeoutFactor * x.admission.Route.PauseTarget
+}
+
+// answerStarted stops the timeout for the answer: the first event of a stream arrived, or the
+// header of any other answer.
+func (p *timeouts) answerStarted() {
+	if p.answer != nil {
+		p.answer.stop()
+	}
+}
+
+// eventSent starts the timeout for the next event of a stream, after the previous one was sent
+// to the caller.
+func (p *timeouts) eventSent() {
+	switch {
+	case p.gapTimeout == 0:
+	case p.gap == nil:
+		p.gap = newStallTimer(p.gapTimeout, p.now, p.cancel)
+	default:
+		p.gap.reset(p.gapTimeout)
+	}
+}
+
+// eventReceived stops the timeout for the next event of a stream. It does not run again until
+// the event was sent to the caller, so that a slow caller does not count as a silent upstream.
+func (p *timeouts) eventReceived() {
+	if p.gap != nil {
+		p.gap.stop()
+	}
+}
+
+// stop stops all timeouts.
+func (p *timeouts) stop() {
+	p.answerStarted()
+	if p.gap != nil {
+		p.gap.stop()
+	}
+}
