--- a/internal/soak/address_test.go
+++ b/internal/soak/address_test.go
@@ -7,12 +7,12 @@
 	"github.com/matryer/is"
 )
 
-// No two gateways are given the same address, nor one that a connection or another
-// program's port could take in the meantime.
-func TestAddressesAreNobodyElses(t *testing.T) {
+// No two gateways get the same address, nor an address that a connection or another
+// program may take before the gateway listens on it.
+func TestAddressesAreUnique(t *testing.T) {
 	is := is.New(t)
 	seen := make(map[string]bool)
-	hostOf := make(map[string]int)
+	gatewayOf := make(map[string]int)
 	for gateway := range 60 {
 		for _, address := range freeAddresses(t, 3) {
 			is.True(!seen[address])
@@ -20,10 +20,10 @@
 			host, _, err := net.SplitHostPort(address)
 			is.NoErr(err)
 			is.True(host != "127.0.0.1")
-			if held, ok := hostOf[host]; ok {
-				is.Equal(held, gateway)
+			if owner, ok := gatewayOf[host]; ok {
+				is.Equal(owner, gateway)
 			}
-			hostOf[host] = gateway
+			gatewayOf[host] = gateway
 		}
 	}
 }
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -2,59 +2,61 @@
 
 import "time"
 
-// Times that the checks keep to.
+// Time limits and thresholds of the checks.
 const (
-	// revokeWithin, configWithin and graceful stand in the gateways' settings.
-	revokeWithin = 3 * time.Second
-	configWithin = 2 * time.Second
-	graceful     = 8 * time.Second
-	// drainWithin is when a leaving replica gets nothing new.
-	drainWithin = 3 * time.Second
-	// calmFor is how long a gateway must have been undisturbed for checks with a
-	// time bound.
-	calmFor = 4 * time.Second
-	// slack covers what the machine that plays takes for itself.
-	slack = 500 * time.Millisecond
-	// recoverWithin is when full service must be back after the last fault.
-	recoverWithin = 6 * time.Second
-	// servedShare is the part of reads that counts as full service.
-	servedShare = 0.95
+	// revocationDeadline, configurationDeadline and shutdownGrace are also in the
+	// gateways' settings.
+	revocationDeadline    = 3 * time.Second
+	configurationDeadline = 2 * time.Second
+	shutdownGrace         = 8 * time.Second
+	// drainDeadline is the time after which a draining replica gets no new requests.
+	drainDeadline = 3 * time.Second
+	// quietPeriod is how long a gateway must have been without faults for checks with a
+	// time limit.
+	quietPeriod = 4 * time.Second
+	// schedulingSlack allows for delays of the machine that runs the test.
+	schedulingSlack = 500 * time.Millisecond
+	// recoveryDeadline is the time after the last fault at which full service must be
+	// back.
+	recoveryDeadline = 6 * time.Second
+	// minServedRatio is the ratio of successful reads that counts as full service.
+	minServedRatio = 0.95
 )
 
-// check is one promise.
-type check struct {
+// invariant is a property that must hold under all faults.
+type invariant struct {
 	Name string
-	// Check returns what broke it.
+	// Check returns a description of each violation.
 	Check func(r *Record) []string
 }
 
-// checks are the promises that hold whatever fails.
-var checks = []check{
+// invariants are the properties that must hold whatever fails.
+var invariants = []invariant{
 	{"at most once", atMostOnce},
-	{"refusals are true", refusalsAreTrue},
-	{"answers are whole and the caller's own", answersAreWhole},
-	{"nothing allowed is denied", nothingDenied},
-	{"revoked keys are refused", revokedRefused},
-	{"configuration never goes back", neverBack},
-	{"leaving replicas get nothing new", leavingLeft},
-	{"replicas that say that they leave get nothing new", leavingHeard},
-	{"replicas that ask for rest get it", restsKept},
-	{"replicas that name a limit get no more", limitsKept},
-	{"evacuated zones get nothing new", evacuatedLeft},
-	{"planned stops cut nothing", stopsCutNothing},
-	{"requests that end replicas are stopped", killerStopped},
-	{"full service is back", serviceIsBack},
+	{"rejected requests did not run", rejectedNotRun},
+	{"responses are complete and belong to the request", responsesComplete},
+	{"valid keys are accepted", validKeysAccepted},
+	{"revoked keys are rejected", revokedKeysRejected},
+	{"configuration versions never go back", configurationMonotonic},
+	{"draining replicas get no new requests", drainingReplicasAvoided},
+	{"replicas that announce their shutdown get no new requests", shutdownNoticesRespected},
+	{"retry delays are respected", retryAfterRespected},
+	{"rate limits are respected", rateLimitsRespected},
+	{"evacuated zones get no new requests", evacuatedZonesAvoided},
+	{"graceful shutdowns drop no requests", shutdownsDropNothing},
+	{"requests that crash replicas are blocked", crashingRequestsBlocked},
+	{"full service recovers", serviceRecovered},
 }
 
-// Check returns everything that broke a promise.
+// Check returns a description of each violation of an invariant.
 func Check(r *Record) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var broken []string
-	for _, c := range checks {
+	var violations []string
+	for _, c := range invariants {
 		for _, text := range c.Check(r) {
-			broken = append(broken, c.Name+": "+text)
+			violations = append(violations, c.Name+": "+text)
 		}
 	}
-	return broken
+	return violations
 }
--- a/internal/soak/crashes.go
+++ b/internal/soak/crashes.go
@@ -12,131 +12,132 @@
 )
 
 const (
-	// killerBody is the body of the request that ends each replica that runs it.
-	killerBody = "end"
-	// killerGap is the longest pause of its caller, who always comes back.
-	killerGap = 900 * time.Millisecond
-	// backAfter is how long a replica that ended needs to start again.
-	backAfter = 500 * time.Millisecond
-	// foreignFor is how long the entry of another writer stands in a replica's place:
-	// until the replica writes its own again.
-	foreignFor = 300 * time.Millisecond
-	// killsMost is the number of times that the request may still reach a replica, long
-	// after the third one ended under it.
-	killsMost = 3
+	// crashBody is the body of the request that crashes each replica that runs it.
+	crashBody = "end"
+	// maxCrashPause is the maximum pause before its caller sends it again.
+	maxCrashPause = 900 * time.Millisecond
+	// replicaRestartDelay is the time from a replica's crash to its restart.
+	replicaRestartDelay = 500 * time.Millisecond
+	// foreignEntryDuration is how long the entry of another writer replaces a replica's
+	// store entry, until the replica writes its own again.
+	foreignEntryDuration = 300 * time.Millisecond
+	// maxLateCrashes is the maximum number of times that the request may still reach a
+	// replica long after its third crash.
+	maxLateCrashes = 3
 )
 
-// Kill is one call of the request that ends replicas.
-type Kill struct {
+// CrashingCall is one call of the request that crashes replicas.
+type CrashingCall struct {
 	ID         string
 	Gateway    int
 	Sent, Done time.Time
 }
 
-// Crash sends a request that ends replicas again and again, to any gateway, until the
-// context ends. They start again under their identities. Now and then another writer
-// leaves an entry in a replica's place. It draws numbers of its own: a seed plays the
-// same faults beside it.
-func (w *World) Crash(ctx context.Context, seed uint64) {
+// InjectCrashes repeatedly sends a request that crashes replicas, to random gateways,
+// until the context ends. Crashed replicas restart under the same identity. Sometimes
+// another writer overwrites a replica's store entry instead. The random numbers are its
+// own, so that the other faults of a seed stay the same.
+func (h *Harness) InjectCrashes(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 79)) //nolint:gosec // Seeded on purpose.
-	for n := 0; loop.Pause(ctx, upTo(rng, killerGap)); n++ {
+	for n := 0; loop.Pause(ctx, randomBelow(rng, maxCrashPause)); n++ {
 		if rng.IntN(4) == 0 {
-			w.overwrite(rng)
+			h.overwriteEntry(rng)
 			continue
 		}
-		p := w.procs[rng.IntN(len(w.procs))]
-		k := Kill{ID: fmt.Sprintf("kill-%d", n), Gateway: p.n, Sent: time.Now()}
-		send(ctx, standin.NewCaller(w.t, p.settings.Callers), standin.Request{
-			ID: k.ID, Host: host, URI: "/" + kindChat + "/1", Key: lastingKey, Body: killerBody, DeadlineMs: callTimeoutMs,
+		p := h.procs[rng.IntN(len(h.procs))]
+		k := CrashingCall{ID: fmt.Sprintf("kill-%d", n), Gateway: p.n, Sent: time.Now()}
+		send(ctx, standin.NewCaller(h.t, p.settings.Callers), standin.Request{
+			ID: k.ID, Host: host, URI: "/" + kindChat + "/1", Key: permanentKey, Body: crashBody, DeadlineMs: callTimeoutMs,
 			Tokens: "100,200", PromptParts: "aa:60,bb:40",
 		})
 		k.Done = time.Now()
-		w.record.kill(k)
-		w.restartEnded()
+		h.record.addCrashingCall(k)
+		h.restartCrashed()
 	}
 }
 
-// end ends the replica under a request: first its link, so that nothing listens where
-// it was listed.
-func (w *World) end(id string) standin.Reply {
-	w.mu.Lock()
-	i := w.indexOf(id)
+// crashReplica crashes the replica that runs a request. It closes the replica's link
+// first, so that nothing listens at the listed address.
+func (h *Harness) crashReplica(id string) standin.Reply {
+	h.mu.Lock()
+	i := h.replicaIndex(id)
 	var r *replica
 	if i >= 0 {
-		r = w.replicas[i]
+		r = h.replicas[i]
 	}
-	w.mu.Unlock()
+	h.mu.Unlock()
 	if r != nil {
 		r.link.Close()
 	}
 	return standin.Reply{Crash: true}
 }
 
-// indexOf is where the replica stands; below 0 if it has left. The caller holds the
-// mutex.
-func (w *World) indexOf(id string) int {
-	return slices.IndexFunc(w.replicas, func(r *replica) bool { return r.ID == id })
+// replicaIndex returns the index of the replica, or a negative number if it was removed.
+// The caller holds the mutex.
+func (h *Harness) replicaIndex(id string) int {
+	return slices.IndexFunc(h.replicas, func(r *replica) bool { return r.ID == id })
 }
 
-// restartEnded starts the replicas that ended again, each under its identity.
-func (w *World) restartEnded() {
-	time.Sleep(backAfter)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for i, r := range w.replicas {
+// restartCrashed restarts the crashed replicas, each under its identity.
+func (h *Harness) restartCrashed() {
+	time.Sleep(replicaRestartDelay)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for i, r := range h.replicas {
 		if r.Crashed() {
-			w.replicas[i] = w.startReplica(r.ID, r.Zone)
+			h.replicas[i] = h.startReplica(r.ID, r.Zone)
 		}
 	}
 }
 
-// overwrite leaves an entry of another writer in a replica's place for a while.
-func (w *World) overwrite(rng *rand.Rand) {
-	w.mu.Lock()
-	id := w.replicas[rng.IntN(len(w.replicas))].ID
-	w.store.PutForeignEntry(id)
-	w.mu.Unlock()
-	time.Sleep(foreignFor)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if i := w.indexOf(id); i >= 0 {
-		w.list(w.replicas[i])
+// overwriteEntry replaces a replica's store entry by one of another writer for a while.
+func (h *Harness) overwriteEntry(rng *rand.Rand) {
+	h.mu.Lock()
+	id := h.replicas[rng.IntN(len(h.replicas))].ID
+	h.store.PutForeignEntry(id)
+	h.mu.Unlock()
+	time.Sleep(foreignEntryDuration)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if i := h.replicaIndex(id); i >= 0 {
+		h.putEntry(h.replicas[i])
 	}
 }
 
-// killerStopped: long after the third end under the request, it reaches hardly any
-// replica through gateways that nothing disturbs. A configuration may give its key to
-// another organisation, and its request is another one then.
-func killerStopped(r *Record) []string {
-	runs := r.runsOf()
-	ends := make(map[string][]time.Time)
-	for _, k := range r.Kills {
+// crashingRequestsBlocked: long after the third crash of the request, it reaches hardly
+// any replica through gateways without faults. Crashes are counted by organisation: a
+// configuration may give the key to another organisation, which makes it a different
+// request.
+func crashingRequestsBlocked(r *Record) []string {
+	runs := r.runsByID()
+	crashes := make(map[string][]time.Time)
+	for _, k := range r.CrashingCalls {
 		for _, run := range runs[k.ID] {
-			ends[run.Organisation] = append(ends[run.Organisation], run.At)
+			crashes[run.Organisation] = append(crashes[run.Organisation], run.At)
 		}
 	}
-	var broken []string
-	for organisation, of := range ends {
-		if late := r.killsLate(runs, organisation, of); late > killsMost {
-			broken = append(broken, fmt.Sprintf("%d of %d ends of %q were long after the third", late, len(of), organisation))
+	var violations []string
+	for organisation, times := range crashes {
+		if late := r.lateCrashes(runs, organisation, times); late > maxLateCrashes {
+			violations = append(violations, fmt.Sprintf("%d of %d crashes for %q were long after the third", late, len(times), organisation))
 		}
 	}
-	return broken
+	return violations
 }
 
-// killsLate is the number of calls of the request, sent long after the third of the ends
-// through calm gateways, that still ran for the organisation.
-func (r *Record) killsLate(runs map[string][]Run, organisation string, ends []time.Time) int {
-	if len(ends) <= killsMost {
+// lateCrashes returns the number of calls that were sent long after the third crash,
+// through gateways without faults, and still ran for the organisation.
+func (r *Record) lateCrashes(runs map[string][]Run, organisation string, crashes []time.Time) int {
+	if len(crashes) <= maxLateCrashes {
 		return 0
 	}
-	slices.SortFunc(ends, time.Time.Compare)
-	third := ends[2]
+	slices.SortFunc(crashes, time.Time.Compare)
+	third := crashes[2]
 	late := 0
-	for _, k := range r.Kills {
+	for _, k := range r.CrashingCalls {
 		c := Call{Gateway: k.Gateway, Sent: k.Sent, Done: k.Done}
 		ran := slices.ContainsFunc(runs[k.ID], func(n Run) bool { return n.Organisation == organisation })
-		if ran && k.Sent.After(third.Add(calmFor)) && r.calm(c) {
+		if ran && k.Sent.After(third.Add(quietPeriod)) && r.undisturbed(c) {
 			late++
 		}
 	}
--- a/internal/soak/evacuations.go
+++ b/internal/soak/evacuations.go
@@ -10,52 +10,55 @@
 )
 
 const (
-	// evacuateWithin is when the replicas of an evacuated zone get nothing new.
-	evacuateWithin = 3 * time.Second
-	// evacuationLeast and evacuationMost bound how long one lasts: it is checked for
-	// what remains after evacuateWithin.
-	evacuationLeast = 4 * time.Second
-	evacuationMost  = 6 * time.Second
-	// evacuationGap is the longest pause between two.
-	evacuationGap = 2 * time.Second
+	// evacuationDeadline is the time after which the replicas of an evacuated
+	// availability zone get no new requests.
+	evacuationDeadline = 3 * time.Second
+	// minEvacuation and maxEvacuation bound the duration of an evacuation. The check
+	// covers the part after evacuationDeadline.
+	minEvacuation = 4 * time.Second
+	maxEvacuation = 6 * time.Second
+	// maxEvacuationPause is the maximum pause between two evacuations.
+	maxEvacuationPause = 2 * time.Second
 )
 
-// Evacuation is a zone that was to get nothing new for a time.
+// Evacuation is a period in which an availability zone was evacuated.
 type Evacuation struct {
 	Zone string
 	At   time.Time
-	// Until is when it was taken back; zero while it lasts.
+	// Until is the end of the evacuation; zero while it lasts.
 	Until time.Time
 }
 
-// Evacuate empties one zone after the other until the context ends, and takes the last
-// one back. It draws numbers of its own: a seed plays the same faults beside it.
-func (w *World) Evacuate(ctx context.Context, seed uint64) {
+// Evacuate evacuates one availability zone at a time until the context ends, and then
+// ends the last evacuation. The random numbers are its own, so that the other faults of a
+// seed stay the same.
+func (h *Harness) Evacuate(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 78)) //nolint:gosec // Seeded on purpose.
 	for ctx.Err() == nil {
-		loop.Pause(ctx, upTo(rng, evacuationGap))
-		zone := zoneOf(rng.IntN(zones))
-		w.store.Evacuate(zone)
+		loop.Pause(ctx, randomBelow(rng, maxEvacuationPause))
+		zone := zoneOf(rng.IntN(zoneCount))
+		h.store.Evacuate(zone)
 		at := time.Now()
-		loop.Pause(ctx, evacuationLeast+upTo(rng, evacuationMost-evacuationLeast))
+		loop.Pause(ctx, minEvacuation+randomBelow(rng, maxEvacuation-minEvacuation))
 		until := time.Now()
-		w.store.EndEvacuation(zone)
-		w.record.evacuated(Evacuation{Zone: zone, At: at, Until: until})
+		h.store.EndEvacuation(zone)
+		h.record.addEvacuation(Evacuation{Zone: zone, At: at, Until: until})
 	}
 }
 
-// evacuatedLeft: nothing reaches a replica whose zone was evacuated long enough before.
-func evacuatedLeft(r *Record) []string {
-	var broken []string
-	calls := r.callsOf()
+// evacuatedZonesAvoided: no request reaches a replica whose availability zone was
+// evacuated more than evacuationDeadline before.
+func evacuatedZonesAvoided(r *Record) []string {
+	var violations []string
+	calls := r.callsByID()
 	for _, n := range r.Runs {
 		c, known := calls[n.ID]
 		for _, e := range r.Evacuations {
-			late := n.At.After(e.At.Add(evacuateWithin+slack)) && n.At.Before(e.Until)
-			if known && late && r.Zones[n.Replica] == e.Zone && r.calm(c) {
-				broken = append(broken, fmt.Sprintf("%s reached %s %v after zone %s was evacuated", n.ID, n.Replica, n.At.Sub(e.At), e.Zone))
+			late := n.At.After(e.At.Add(evacuationDeadline+schedulingSlack)) && n.At.Before(e.Until)
+			if known && late && r.Zones[n.Replica] == e.Zone && r.undisturbed(c) {
+				violations = append(violations, fmt.Sprintf("%s reached %s %v after zone %s was evacuated", n.ID, n.Replica, n.At.Sub(e.At), e.Zone))
 			}
 		}
 	}
-	return broken
+	return violations
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -11,134 +11,133 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// Times of faults.
+// Durations of faults.
 const (
-	// faultGap is the mean time between the beginnings of two faults.
-	faultGap = 450 * time.Millisecond
-	// faultLeast and faultMost bound how long a fault lasts.
-	faultLeast = 300 * time.Millisecond
-	faultMost  = 3500 * time.Millisecond
-	// restartAfter is how long the platform takes to start a process again.
-	restartAfter = 200 * time.Millisecond
+	// meanFaultInterval is the mean time between the beginnings of two faults.
+	meanFaultInterval = 450 * time.Millisecond
+	// minFaultDuration and maxFaultDuration bound the duration of a fault.
+	minFaultDuration = 300 * time.Millisecond
+	maxFaultDuration = 3500 * time.Millisecond
+	// gatewayRestartDelay is the time that the platform takes to restart a process.
+	gatewayRestartDelay = 200 * time.Millisecond
 )
 
-// fault is one way in which things fail.
+// fault is a kind of fault that the soak injects.
 type fault struct {
-	// weight is how often it is chosen, beside the weights of the others.
+	// weight is the relative frequency of the fault.
 	weight int
-	// do injects the fault for the time, and returns when its effect is over.
-	do func(w *World, rng *rand.Rand, d time.Duration)
+	// inject injects the fault for the duration d and returns once it has ended.
+	inject func(h *Harness, rng *rand.Rand, d time.Duration)
 }
 
-// faults are what may happen.
+// faults are the kinds of fault to choose from.
 var faults = []fault{
-	{3, (*World).failStoreLink},
-	{2, (*World).failStore},
-	{3, (*World).failReplicaLink},
-	{2, (*World).killGateway},
-	{2, (*World).freezeGateway},
-	{2, (*World).stopGateway},
-	{1, (*World).reloadGateway},
-	{2, (*World).changeConfiguration},
-	{2, (*World).revokeKey},
-	{2, (*World).replaceReplica},
-	{1, (*World).compactStore},
-}
-
-// Faults lets things fail, overlapping, until the context ends, and waits until
-// all is well again.
-func (w *World) Faults(ctx context.Context, seed uint64) {
+	{3, (*Harness).failStoreLink},
+	{2, (*Harness).failStore},
+	{3, (*Harness).failReplicaLink},
+	{2, (*Harness).killGateway},
+	{2, (*Harness).freezeGateway},
+	{2, (*Harness).stopGateway},
+	{1, (*Harness).reloadGateway},
+	{2, (*Harness).changeConfiguration},
+	{2, (*Harness).revokeKey},
+	{2, (*Harness).replaceReplica},
+	{1, (*Harness).compactStore},
+}
+
+// InjectFaults starts faults, which may overlap, until the context ends. It returns once
+// all of them have ended.
+func (h *Harness) InjectFaults(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 77)) //nolint:gosec // Seeded on purpose.
 	var group errgroup.Group
 	for ctx.Err() == nil {
 		f := chooseFault(rng)
-		d := faultLeast + upTo(rng, faultMost-faultLeast)
-		own := rand.New(rand.NewPCG(seed, rng.Uint64())) //nolint:gosec // Seeded on purpose.
+		d := minFaultDuration + randomBelow(rng, maxFaultDuration-minFaultDuration)
+		faultRNG := rand.New(rand.NewPCG(seed, rng.Uint64())) //nolint:gosec // Seeded on purpose.
 		group.Go(func() error {
-			f.do(w, own, d)
+			f.inject(h, faultRNG, d)
 			return nil
 		})
-		time.Sleep(upTo(rng, 2*faultGap))
+		time.Sleep(randomBelow(rng, 2*meanFaultInterval))
 	}
 	_ = group.Wait()
-	w.calm.Store(true)
+	h.faultsDisabled.Store(true)
 }
 
-// chooseFault draws one of the faults by their weights.
+// chooseFault returns a random fault according to the weights.
 func chooseFault(rng *rand.Rand) fault {
 	sum := 0
 	for _, f := range faults {
 		sum += f.weight
 	}
-	dice := rng.IntN(sum)
+	roll := rng.IntN(sum)
 	for _, f := range faults {
-		if dice -= f.weight; dice < 0 {
+		if roll -= f.weight; roll < 0 {
 			return f
 		}
 	}
 	return faults[0]
 }
 
-// during notes an event that lasts while do runs.
-func (w *World) during(what string, gateway int, do func()) {
+// recordDuring records an event that lasts while action runs.
+func (h *Harness) recordDuring(name string, gateway int, action func()) {
 	at := time.Now()
-	do()
-	w.record.event(Event{At: at, What: what, Gateway: gateway, Until: time.Now()})
+	action()
+	h.record.addEvent(Event{At: at, Name: name, Gateway: gateway, Until: time.Now()})
 }
 
-// failLink lets the link fail in one of its ways for the time.
+// failLink makes the link fail in a random way for the duration.
 func failLink(link *Proxy, rng *rand.Rand, d time.Duration) {
 	link.Set(LinkFault(1 + rng.IntN(int(Silent))))
 	time.Sleep(d)
 	link.Set(NoFault)
 }
 
-func (w *World) failStoreLink(rng *rand.Rand, d time.Duration) {
-	p := w.procs[rng.IntN(len(w.procs))]
-	w.during("link to the store", p.n, func() { failLink(p.link, rng, d) })
+func (h *Harness) failStoreLink(rng *rand.Rand, d time.Duration) {
+	p := h.procs[rng.IntN(len(h.procs))]
+	h.recordDuring("link to the store", p.n, func() { failLink(p.link, rng, d) })
 }
 
-func (w *World) failStore(rng *rand.Rand, d time.Duration) {
-	troubles := []standin.StoreFault{standin.Unavailable, standin.RateLimited, standin.Silent, standin.Disconnect, standin.InvalidJSON}
-	w.during("store", everyGateway, func() {
-		w.store.SetFault(troubles[rng.IntN(len(troubles))])
+func (h *Harness) failStore(rng *rand.Rand, d time.Duration) {
+	storeFaults := []standin.StoreFault{standin.Unavailable, standin.RateLimited, standin.Silent, standin.Disconnect, standin.InvalidJSON}
+	h.recordDuring("store", everyGateway, func() {
+		h.store.SetFault(storeFaults[rng.IntN(len(storeFaults))])
 		time.Sleep(d)
-		w.store.SetFault(standin.NoFault)
+		h.store.SetFault(standin.NoFault)
 	})
 }
 
-func (w *World) failReplicaLink(rng *rand.Rand, d time.Duration) {
-	w.mu.Lock()
-	r := w.replicas[rng.IntN(len(w.replicas))]
-	w.mu.Unlock()
-	w.during("link to a replica", noGateway, func() { failLink(r.link, rng, d) })
+func (h *Harness) failReplicaLink(rng *rand.Rand, d time.Duration) {
+	h.mu.Lock()
+	r := h.replicas[rng.IntN(len(h.replicas))]
+	h.mu.Unlock()
+	h.recordDuring("link to a replica", noGateway, func() { failLink(r.link, rng, d) })
 }
 
-// alone lets one fault have the process at a time; it does nothing if another
-// one has it.
-func (p *process) alone(do func()) {
+// exclusively runs action unless another fault affects the process at the moment.
+func (p *process) exclusively(action func()) {
 	if !p.busy.CompareAndSwap(false, true) {
 		return
 	}
 	defer p.busy.Store(false)
-	do()
+	action()
 }
 
-func (w *World) killGateway(rng *rand.Rand, _ time.Duration) {
-	p := w.procs[rng.IntN(len(w.procs))]
-	p.alone(func() {
-		w.during("kill", p.n, func() {
+func (h *Harness) killGateway(rng *rand.Rand, _ time.Duration) {
+	p := h.procs[rng.IntN(len(h.procs))]
+	p.exclusively(func() {
+		h.recordDuring("kill", p.n, func() {
 			p.kill()
-			time.Sleep(restartAfter)
+			time.Sleep(gatewayRestartDelay)
 			p.start()
 		})
 	})
 }
 
-func (w *World) freezeGateway(rng *rand.Rand, d time.Duration) {
-	p := w.procs[rng.IntN(len(w.procs))]
-	p.alone(func() {
-		w.during("freeze", p.n, func() {
+func (h *Harness) freezeGateway(rng *rand.Rand, d time.Duration) {
+	p := h.procs[rng.IntN(len(h.procs))]
+	p.exclusively(func() {
+		h.recordDuring("freeze", p.n, func() {
 			p.signal(syscall.SIGSTOP)
 			time.Sleep(d)
 			p.signal(syscall.SIGCONT)
@@ -146,67 +145,67 @@
 	})
 }
 
-func (w *World) stopGateway(rng *rand.Rand, _ time.Duration) {
-	p := w.procs[rng.IntN(len(w.procs))]
-	p.alone(func() {
-		w.during(whatStop, p.n, func() {
+func (h *Harness) stopGateway(rng *rand.Rand, _ time.Duration) {
+	p := h.procs[rng.IntN(len(h.procs))]
+	p.exclusively(func() {
+		h.recordDuring(gracefulShutdown, p.n, func() {
 			p.signal(syscall.SIGTERM)
 			p.wait()
-			time.Sleep(restartAfter)
+			time.Sleep(gatewayRestartDelay)
 			p.start()
 		})
 	})
 }
 
-func (w *World) reloadGateway(rng *rand.Rand, _ time.Duration) {
-	p := w.procs[rng.IntN(len(w.procs))]
-	// A process that only just started has no handler yet.
+func (h *Harness) reloadGateway(rng *rand.Rand, _ time.Duration) {
+	p := h.procs[rng.IntN(len(h.procs))]
+	// A process that has just started does not handle the signal yet.
 	if p.ready() {
-		p.alone(func() { p.signal(syscall.SIGHUP) })
+		p.exclusively(func() { p.signal(syscall.SIGHUP) })
 	}
 }
 
-func (w *World) changeConfiguration(*rand.Rand, time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.publish()
+func (h *Harness) changeConfiguration(*rand.Rand, time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.publish()
 }
 
-func (w *World) revokeKey(*rand.Rand, time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	old := w.spareKey
-	w.oldKeys = append(w.oldKeys, old)
-	w.spareKey = old + "x"
-	w.publish()
-	w.record.revoked(old, time.Now())
+func (h *Harness) revokeKey(*rand.Rand, time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	old := h.nextRevokedKey
+	h.revokedKeys = append(h.revokedKeys, old)
+	h.nextRevokedKey = old + "x"
+	h.publish()
+	h.record.addRevocation(old, time.Now())
 }
 
-// replaceReplica starts a replica, lets another one leave, and takes it off the
-// list.
-func (w *World) replaceReplica(rng *rand.Rand, d time.Duration) {
-	w.mu.Lock()
-	r := w.swapReplica(rng)
-	w.store.PutReplica(r.WithAddress(r.link.Address()), pool, true)
-	w.mu.Unlock()
-	w.record.left(r.ID, time.Now())
+// replaceReplica starts a replica, lists another one as draining, and removes that one
+// from the store after a while.
+func (h *Harness) replaceReplica(rng *rand.Rand, d time.Duration) {
+	h.mu.Lock()
+	r := h.swapReplica(rng)
+	h.store.PutReplica(r.WithAddress(r.link.Address()), pool, true)
+	h.mu.Unlock()
+	h.record.addDraining(r.ID, time.Now())
 	time.Sleep(d)
-	w.store.RemoveReplica(r.ID)
+	h.store.RemoveReplica(r.ID)
 }
 
-// swapReplica starts a replica in the place of another one, which it returns. The caller
+// swapReplica starts a replica in place of another one, which it returns. The caller
 // holds the mutex.
-func (w *World) swapReplica(rng *rand.Rand) *replica {
-	w.addReplica()
-	at := rng.IntN(len(w.replicas))
-	r := w.replicas[at]
-	w.replicas = append(w.replicas[:at], w.replicas[at+1:]...)
+func (h *Harness) swapReplica(rng *rand.Rand) *replica {
+	h.addReplica()
+	at := rng.IntN(len(h.replicas))
+	r := h.replicas[at]
+	h.replicas = append(h.replicas[:at], h.replicas[at+1:]...)
 	return r
 }
 
-func (w *World) compactStore(*rand.Rand, time.Duration) { w.store.Compact() }
+func (h *Harness) compactStore(*rand.Rand, time.Duration) { h.store.Compact() }
 
-// upTo is a random time below the limit.
-func upTo(rng *rand.Rand, limit time.Duration) time.Duration {
+// randomBelow returns a random duration below the limit.
+func randomBelow(rng *rand.Rand, limit time.Duration) time.Duration {
 	return time.Duration(rng.Int64N(int64(limit)))
 }
--- a/internal/soak/kinds.go
+++ b/internal/soak/kinds.go
@@ -7,25 +7,25 @@
 
 // Kinds of request.
 const (
-	// kindRead may be repeated, kindWrite runs at most once.
+	// kindRead is idempotent; kindWrite runs at most once.
 	kindRead  = "read"
 	kindWrite = "write"
-	// kindChat is a stream that runs at most once; kindNote is one that another
+	// kindChat is a stream that runs at most once; kindNote is a stream that another
 	// replica may resume.
 	kindChat = "chat"
 	kindNote = "note"
 )
 
-// events is the number of events of a whole stream.
-const events = 5
+// eventsPerStream is the number of events of a complete stream.
+const eventsPerStream = 5
 
-// streams reports whether requests of the kind are answered with events.
-func streams(kind string) bool { return kind == kindChat || kind == kindNote }
+// isStream reports whether the response to requests of the kind is an event stream.
+func isStream(kind string) bool { return kind == kindChat || kind == kindNote }
 
 // runsOnce reports whether requests of the kind run at most once.
 func runsOnce(kind string) bool { return kind == kindWrite || kind == kindChat }
 
-// kindOf is the kind of request at a path.
+// kindOf returns the kind of request for a path.
 func kindOf(uri string) string {
 	for _, kind := range []string{kindRead, kindWrite, kindChat, kindNote} {
 		if len(uri) > len(kind) && uri[1:1+len(kind)] == kind {
@@ -35,22 +35,22 @@
 	return ""
 }
 
-// eventsOf is the data of the events of a whole stream.
-func eventsOf(id string) []string {
-	list := make([]string, events)
+// streamEvents returns the data of the events of a complete stream.
+func streamEvents(id string) []string {
+	list := make([]string, eventsPerStream)
 	for i := range list {
 		list[i] = fmt.Sprintf("%s-%d", id, i+1)
 	}
 	return list
 }
 
-// body is what a replica answers to the request.
-func body(kind, id string) string {
-	if !streams(kind) {
+// expectedBody returns the body of a replica's complete response to the request.
+func expectedBody(kind, id string) string {
+	if !isStream(kind) {
 		return kind + " " + id
 	}
 	var b strings.Builder
-	for i, data := range eventsOf(id) {
+	for i, data := range streamEvents(id) {
 		fmt.Fprintf(&b, "id: %d\ndata: %s\n\n", i+1, data)
 	}
 	return b.String()
--- a/internal/soak/notices.go
+++ b/internal/soak/notices.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// noticeGap is the longest pause between two replicas that say something of themselves.
-	noticeGap = 1200 * time.Millisecond
-	// restLeast and restMost bound the rest that a replica asks for.
-	restLeast = 600 * time.Millisecond
-	restMost  = 2500 * time.Millisecond
-	// restOnTheWay is how long after a refusal requests may come that were on their way,
-	// and restAllowed how many may come later in the rest.
-	restOnTheWay = 500 * time.Millisecond
-	restAllowed  = 2
-	// shedMost bounds how long a replica refuses everything.
-	shedMost = 3 * time.Second
-	// listedLate is the longest time after its answers say so that a leaving replica is
-	// listed as such.
-	listedLate = 3 * time.Second
+	// maxNoticePause is the maximum pause before the next replica announces something.
+	maxNoticePause = 1200 * time.Millisecond
+	// minRetryAfter and maxRetryAfter bound the delay that a rejection asks for.
+	minRetryAfter = 600 * time.Millisecond
+	maxRetryAfter = 2500 * time.Millisecond
+	// Requests that were in flight may arrive for inFlightTime after a rejection. In the
+	// rest of the delay at most maxRequestsDuringRetryAfter may arrive.
+	inFlightTime                = 500 * time.Millisecond
+	maxRequestsDuringRetryAfter = 2
+	// maxShedding bounds how long a replica rejects all requests.
+	maxShedding = 3 * time.Second
+	// maxListingDelay is the maximum time from the first response that announces the
+	// shutdown to the listing of the replica as draining.
+	maxListingDelay = 3 * time.Second
 )
 
 // Arrival is one request that reached a replica, whether it ran or not.
@@ -32,138 +32,143 @@
 	ID      string
 	Replica string
 	At      time.Time
-	// Rest is what the replica asked for in its refusal; 0 if it did not refuse, or
-	// did not say.
-	Rest time.Duration
+	// RetryAfter is the delay that the rejection asked for; 0 if the request was not
+	// rejected or the rejection had no valid delay.
+	RetryAfter time.Duration
 }
 
-// unreadable are times of rest that no gateway can read, or that ask for none.
-var unreadable = []string{"", "0", "-2", "soon", "Fri, 01 Jan 2100 00:00:00 GMT"}
+// invalidRetryAfters are Retry-After values that gateways cannot parse or that ask for no
+// delay.
+var invalidRetryAfters = []string{"", "0", "-2", "soon", "Fri, 01 Jan 2100 00:00:00 GMT"}
 
-// Notices lets replicas say of themselves that they leave, or that they want rest, until
-// the context ends. It draws numbers of its own: a seed plays the same faults beside it.
-func (w *World) Notices(ctx context.Context, seed uint64) {
+// InjectNotices makes replicas announce their shutdown or reject requests with a
+// Retry-After header, until the context ends. The random numbers are its own, so that the
+// other faults of a seed stay the same.
+func (h *Harness) InjectNotices(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 80)) //nolint:gosec // Seeded on purpose.
-	for loop.Pause(ctx, upTo(rng, noticeGap)) {
+	for loop.Pause(ctx, randomBelow(rng, maxNoticePause)) {
 		if rng.IntN(3) == 0 {
-			w.sayLeaving(rng)
+			h.announceShutdown(rng)
 		} else {
-			w.shed(rng)
+			h.startShedding(rng)
 		}
 	}
 }
 
-// shed lets a replica refuse everything for a time. It asks for rest, mostly in seconds
-// that can be read.
-func (w *World) shed(rng *rand.Rand) {
-	s := shedding{until: time.Now().Add(upTo(rng, shedMost)), rest: restLeast + upTo(rng, restMost-restLeast)}
-	s.text = fmt.Sprintf("%.3f", s.rest.Seconds())
-	if i := rng.IntN(4 * len(unreadable)); i < len(unreadable) {
-		s.text, s.rest = unreadable[i], 0
+// startShedding makes a replica reject all requests for a time. Most of the rejections
+// have a valid Retry-After header in seconds.
+func (h *Harness) startShedding(rng *rand.Rand) {
+	s := shedding{until: time.Now().Add(randomBelow(rng, maxShedding)), retryAfter: minRetryAfter + randomBelow(rng, maxRetryAfter-minRetryAfter)}
+	s.text = fmt.Sprintf("%.3f", s.retryAfter.Seconds())
+	if i := rng.IntN(4 * len(invalidRetryAfters)); i < len(invalidRetryAfters) {
+		s.text, s.retryAfter = invalidRetryAfters[i], 0
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.shedding[w.replicas[rng.IntN(len(w.replicas))].ID] = s
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.shedding[h.replicas[rng.IntN(len(h.replicas))].ID] = s
 }
 
-// shedding is what a replica does that refuses everything.
+// shedding is the state of a replica that rejects all requests.
 type shedding struct {
 	until time.Time
-	// text is what it says of the rest that it wants.
-	text string
-	rest time.Duration
+	// text is the value of the Retry-After header.
+	text       string
+	retryAfter time.Duration
 }
 
-// reply returns the refusal.
+// reply returns the rejection.
 func (s shedding) reply() standin.Reply {
 	return standin.Reply{Refuse: true, HeaderLines: "Retry-After: " + s.text + "\r\n"}
 }
 
-// sheds reports whether the replica refuses everything now.
-func (w *World) sheds(id string) (shedding, bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	s, ok := w.shedding[id]
-	return s, ok && time.Now().Before(s.until) && !w.calm.Load()
+// currentShedding returns the replica's rejection, and whether it rejects all requests
+// now.
+func (h *Harness) currentShedding(id string) (shedding, bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	s, ok := h.shedding[id]
+	return s, ok && time.Now().Before(s.until) && !h.faultsDisabled.Load()
 }
 
-// sayLeaving starts a replica and lets another one say in its answers that it leaves. The
-// list tells of that later, or never; and now and then its answers stop saying so.
-func (w *World) sayLeaving(rng *rand.Rand) {
-	w.mu.Lock()
-	r := w.swapReplica(rng)
-	w.mu.Unlock()
+// announceShutdown starts a replica and makes another one announce its shutdown in its
+// responses. The store lists that one as draining later or never, and sometimes it
+// withdraws the announcement.
+func (h *Harness) announceShutdown(rng *rand.Rand) {
+	h.mu.Lock()
+	r := h.swapReplica(rng)
+	h.mu.Unlock()
 	r.SetLeaving(true)
-	time.Sleep(upTo(rng, listedLate))
+	time.Sleep(randomBelow(rng, maxListingDelay))
 	switch rng.IntN(3) {
 	case 0:
-		w.store.PutReplica(r.WithAddress(r.link.Address()), pool, true)
-		w.record.left(r.ID, time.Now())
+		h.store.PutReplica(r.WithAddress(r.link.Address()), pool, true)
+		h.record.addDraining(r.ID, time.Now())
 	case 1:
 		r.SetLeaving(false)
 	default:
 	}
 }
 
-// life is one start of one gateway.
-type life struct{ gateway, start int }
+// incarnation is one start of one gateway.
+type incarnation struct{ gateway, start int }
 
-// leavingHeard: once a caller has an answer of a replica that says that it leaves, nothing
-// that is sent much later reaches that replica through the same gateway.
-func leavingHeard(r *Record) []string {
-	type word struct {
-		life
+// shutdownNoticesRespected: once a caller got a response that announces the replica's
+// shutdown, no request that is sent more than drainDeadline later reaches that replica
+// through the same gateway.
+func shutdownNoticesRespected(r *Record) []string {
+	type notice struct {
+		incarnation
 		replica string
 	}
-	told := make(map[word]time.Time)
+	notified := make(map[notice]time.Time)
 	for _, c := range r.Calls {
-		w := word{life{c.Gateway, c.Life}, c.LeavingReplica}
-		if before, ok := told[w]; c.LeavingReplica != "" && (!ok || c.Done.Before(before)) {
-			told[w] = c.Done
+		n := notice{incarnation{c.Gateway, c.Incarnation}, c.LeavingReplica}
+		if before, ok := notified[n]; c.LeavingReplica != "" && (!ok || c.Done.Before(before)) {
+			notified[n] = c.Done
 		}
 	}
-	var broken []string
-	calls := r.callsOf()
+	var violations []string
+	calls := r.callsByID()
 	for _, a := range r.Arrivals {
 		c, known := calls[a.ID]
-		at, ok := told[word{life{c.Gateway, c.Life}, a.Replica}]
-		late := known && ok && c.Sent.After(at.Add(drainWithin))
-		if late && !r.disturbed(c.Gateway, at, a.At) && !r.startedBetween(a.Replica, at, a.At) {
-			broken = append(broken, fmt.Sprintf("%s reached %s %v after the word", a.ID, a.Replica, c.Sent.Sub(at)))
+		at, ok := notified[notice{incarnation{c.Gateway, c.Incarnation}, a.Replica}]
+		late := known && ok && c.Sent.After(at.Add(drainDeadline))
+		if late && !r.disturbed(c.Gateway, at, a.At) && !r.restartedBetween(a.Replica, at, a.At) {
+			violations = append(violations, fmt.Sprintf("%s reached %s %v after it announced its shutdown", a.ID, a.Replica, c.Sent.Sub(at)))
 		}
 	}
-	return broken
+	return violations
 }
 
-// restsKept: no more than a few requests reach a replica through a gateway that it has
-// asked for rest, those on their way aside. Another start under its identity has asked for
-// nothing.
-func restsKept(r *Record) []string {
-	var broken []string
-	calls := r.callsOf()
-	for _, asked := range r.Arrivals {
-		by, known := calls[asked.ID]
-		end := asked.At.Add(asked.Rest)
-		if asked.Rest == 0 || !known || r.disturbed(by.Gateway, asked.At, end) || r.disturbed(noGateway, asked.At, end) {
+// retryAfterRespected: during the delay that a rejection asked for, at most a few
+// requests reach the replica through the same gateway, apart from those in flight. A
+// restart under the same identity ends the delay.
+func retryAfterRespected(r *Record) []string {
+	var violations []string
+	calls := r.callsByID()
+	for _, refusal := range r.Arrivals {
+		by, known := calls[refusal.ID]
+		end := refusal.At.Add(refusal.RetryAfter)
+		if refusal.RetryAfter == 0 || !known || r.disturbed(by.Gateway, refusal.At, end) || r.disturbed(noGateway, refusal.At, end) {
 			continue
 		}
 		n := 0
 		for _, a := range r.Arrivals {
 			c, known := calls[a.ID]
-			in := a.At.After(asked.At.Add(restOnTheWay)) && a.At.Before(end)
-			same := a.Replica == asked.Replica && !r.startedBetween(a.Replica, asked.At, a.At)
-			if known && in && same && c.Gateway == by.Gateway && c.Life == by.Life {
+			in := a.At.After(refusal.At.Add(inFlightTime)) && a.At.Before(end)
+			same := a.Replica == refusal.Replica && !r.restartedBetween(a.Replica, refusal.At, a.At)
+			if known && in && same && c.Gateway == by.Gateway && c.Incarnation == by.Incarnation {
 				n++
 			}
 		}
-		if n > restAllowed {
-			broken = append(broken, fmt.Sprintf("%d requests of gateway %d reached %s in %v of rest after %s", n, by.Gateway, asked.Replica, asked.Rest, asked.ID))
+		if n > maxRequestsDuringRetryAfter {
+			violations = append(violations, fmt.Sprintf("%d requests of gateway %d reached %s during the retry delay of %v after %s", n, by.Gateway, refusal.Replica, refusal.RetryAfter, refusal.ID))
 		}
 	}
-	return broken
+	return violations
 }
 
-// disturbed reports whether a fault had the gateway between the times.
+// disturbed reports whether a fault affected the gateway between the times.
 func (r *Record) disturbed(gateway int, from, to time.Time) bool {
 	for _, e := range r.Events {
 		if e.Gateway == gateway && e.At.Before(to) && e.Until.After(from) {
@@ -173,8 +178,8 @@
 	return false
 }
 
-// startedBetween reports whether the replica started again between the times.
-func (r *Record) startedBetween(replica string, from, to time.Time) bool {
+// restartedBetween reports whether the replica restarted between the times.
+func (r *Record) restartedBetween(replica string, from, to time.Time) bool {
 	for _, at := range r.Starts[replica] {
 		if at.After(from) && at.Before(to) {
 			return true
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -16,22 +16,22 @@
 
 // Faults of a link.
 const (
-	// NoFault carries everything.
+	// NoFault forwards all data.
 	NoFault LinkFault = iota
-	// Slow delays each piece.
+	// Slow delays each chunk.
 	Slow
-	// Reset closes all connections and takes no new ones.
+	// Reset resets all connections, also new ones.
 	Reset
-	// OneWay loses what comes back.
+	// OneWay drops the data from the target.
 	OneWay
-	// Silent loses everything, and keeps connections open.
+	// Silent drops all data but keeps connections open.
 	Silent
 )
 
-// slowBy is the delay of each piece on a slow link.
-const slowBy = 150 * time.Millisecond
+// slowDelay is the delay of each chunk on a slow link.
+const slowDelay = 150 * time.Millisecond
 
-// Proxy is a link on loopback that can be made to fail.
+// Proxy is a link on loopback with fault injection.
 type Proxy struct {
 	listener net.Listener
 	target   string
@@ -40,7 +40,7 @@
 	mu    sync.Mutex
 	fault LinkFault
 	conns map[net.Conn]bool
-	// closed is true once the link has ended.
+	// closed is true once the link is closed.
 	closed bool
 }
 
@@ -55,11 +55,11 @@
 	return p, nil
 }
 
-// Address returns where the link begins.
+// Address returns the address that the link listens on.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes how the link fails. What a link has lost stays lost, so connections
-// through one that lost something are closed by the next change.
+// Set changes the fault of the link. Dropped data is not sent again, so a change after a
+// fault that drops data resets the connections.
 func (p *Proxy) Set(f LinkFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,7 +72,7 @@
 	}
 }
 
-// Close ends the link.
+// Close closes the link and all its connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.mu.Lock()
@@ -84,13 +84,13 @@
 	_ = p.group.Wait()
 }
 
-func (p *Proxy) now() LinkFault {
+func (p *Proxy) currentFault() LinkFault {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.fault
 }
 
-// reset closes a connection so that its peer sees a reset.
+// reset closes a connection so that its peer receives a TCP reset.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -104,25 +104,25 @@
 		if err != nil {
 			return nil //nolint:nilerr // The listener was closed.
 		}
-		if p.now() == Reset {
+		if p.currentFault() == Reset {
 			reset(c)
 			continue
 		}
 		p.group.Go(func() error {
-			p.carry(c)
+			p.forward(c)
 			return nil
 		})
 	}
 }
 
-// carry joins a connection to a new one to the target.
-func (p *Proxy) carry(c net.Conn) {
+// forward connects to the target and forwards data in both directions.
+func (p *Proxy) forward(c net.Conn) {
 	t, err := net.Dial("tcp", p.target)
 	if err != nil {
 		reset(c)
 		return
 	}
-	if !p.join(c, t) {
+	if !p.register(c, t) {
 		reset(c)
 		reset(t)
 		return
@@ -137,9 +137,9 @@
 	p.mu.Unlock()
 }
 
-// join keeps both connections until the link fails; false if it has failed
-// meanwhile.
-func (p *Proxy) join(c, t net.Conn) bool {
+// register adds both connections to those that a fault resets. It returns false if the
+// link was reset or closed in the meantime.
+func (p *Proxy) register(c, t net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || p.fault == Reset {
@@ -149,7 +149,8 @@
 	return true
 }
 
-// copy carries one direction; pieces are lost while the link has one of the faults.
+// copy copies one direction. It drops the data while the link has one of the given
+// faults.
 func (p *Proxy) copy(dst, src net.Conn, lost ...LinkFault) error {
 	defer func() {
 		_ = dst.Close()
@@ -158,26 +159,26 @@
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := src.Read(buf)
-		if n > 0 && !p.loses(lost) {
+		if n > 0 && !p.drops(lost) {
 			if _, werr := dst.Write(buf[:n]); werr != nil {
 				return nil // The other side is gone.
 			}
 		}
 		if err != nil {
-			// The end is lost as well while everything is.
-			for errors.Is(err, io.EOF) && p.loses(lost) {
-				time.Sleep(slowBy)
+			// The end of the stream is dropped as well while data is.
+			for errors.Is(err, io.EOF) && p.drops(lost) {
+				time.Sleep(slowDelay)
 			}
 			return nil
 		}
 	}
 }
 
-// loses waits out the delay of a slow link, and reports whether a piece is lost.
-func (p *Proxy) loses(lost []LinkFault) bool {
-	f := p.now()
+// drops waits for the delay of a slow link and reports whether to drop the chunk.
+func (p *Proxy) drops(lost []LinkFault) bool {
+	f := p.currentFault()
 	if f == Slow {
-		time.Sleep(slowBy)
+		time.Sleep(slowDelay)
 	}
 	return slices.Contains(lost, f)
 }
--- a/internal/soak/publish.go
+++ b/internal/soak/publish.go
@@ -8,29 +8,29 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// Names in the soak's configurations.
+// Names in the published configurations.
 const (
 	host               = "soak.example"
 	organisationPrefix = "org-"
-	// lastingKey is never taken away.
-	lastingKey = "lasting"
-	pool       = "app"
+	// permanentKey is never revoked.
+	permanentKey = "lasting"
+	pool         = "app"
 )
 
-// What the routes allow, in milliseconds.
+// Timeout and latency targets of the routes, in milliseconds.
 const (
 	routeTimeoutMs = 2000
 	routeTargetMs  = 200
 	routePauseMs   = 200
 )
 
-// publish writes the next configuration. Its organisation is named for its
-// version, so that replicas see which one is in force. The caller holds the
-// mutex, or is the only one yet.
-func (w *World) publish() {
-	w.version++
-	w.store.PutConfig(standin.Config{
-		Version: w.version,
+// publish publishes the next configuration. It names the organisation after its version,
+// so that replicas see which version is in effect. The caller holds the mutex, or nothing
+// else runs yet.
+func (h *Harness) publish() {
+	h.version++
+	h.store.PutConfig(standin.Config{
+		Version: h.version,
 		Engines: true,
 		Routes: []standin.Route{
 			route(kindRead, "idempotent", 2, false),
@@ -38,12 +38,12 @@
 			route(kindChat, "streaming", 1, false),
 			route(kindNote, "streaming", 2, true),
 		},
-		Keys: map[string][]string{organisationOf(w.version): {lastingKey, w.spareKey}},
+		Keys: map[string][]string{organisationOf(h.version): {permanentKey, h.nextRevokedKey}},
 	})
-	w.record.published(w.version, time.Now())
+	h.record.addVersion(h.version, time.Now())
 }
 
-// route is the route of a kind of request; Wire is the platform's word for it.
+// route returns the route for a kind of request; wire is the platform's name of the kind.
 func route(kind, wire string, attempts int, resume bool) standin.Route {
 	return standin.Route{
 		Name: kind, Host: host, Prefix: "/" + kind + "/", Kind: wire, Pool: pool,
@@ -51,12 +51,13 @@
 	}
 }
 
-// organisationOf names the organisation for the version.
+// organisationOf returns the name of the organisation in a version of the configuration.
 func organisationOf(version int64) string {
 	return organisationPrefix + strconv.FormatInt(version, 10)
 }
 
-// versionOf is the version that named the organisation.
+// versionOf returns the version of the configuration that has an organisation of this
+// name.
 func versionOf(organisation string) int64 {
 	v, _ := strconv.ParseInt(strings.TrimPrefix(organisation, organisationPrefix), 10, 64)
 	return v
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -5,154 +5,156 @@
 	"time"
 )
 
-// Call is one request as its caller saw it.
+// Call is one request as its caller observed it.
 type Call struct {
 	ID   string
 	Kind string
 	Key  string
-	// Gateway and Life say which process took it; Life counts its starts.
-	Gateway int
-	Life    int
-	Sent    time.Time
-	Done    time.Time
-	// Status is 0 if there was no answer.
+	// Gateway and Incarnation identify the process that received the request. Incarnation
+	// counts the starts of the gateway.
+	Gateway     int
+	Incarnation int
+	Sent        time.Time
+	Done        time.Time
+	// Status is 0 if there was no response.
 	Status int
-	// Whole is true if the answer came to its end, Sealed if it bears a replica's
-	// signature.
+	// Whole is true if the response is complete, Sealed if it has a replica's seal.
 	Whole  bool
 	Sealed bool
 	Body   string
-	// LeavingReplica is the replica whose answer it is, if that says that it leaves.
+	// LeavingReplica is the replica that sent the response, if the response announces the
+	// replica's shutdown.
 	LeavingReplica string
-	// LimitedReplica is the replica whose answer it is, if that names a limit.
+	// LimitedReplica is the replica that sent the response, if the response announces a
+	// rate limit.
 	LimitedReplica string
 }
 
-// Run is one request as a replica saw it.
+// Run is one request as a replica observed it.
 type Run struct {
 	ID      string
 	Replica string
 	At      time.Time
-	// Organisation tells the version of the configuration that was in force.
+	// Organisation identifies the version of the configuration that was in effect.
 	Organisation string
-	// Continues is true if the replica went on from the copy of a run.
+	// Continues is true if the replica continued an earlier run from a backup.
 	Continues bool
 }
 
-// Event is something that the soak did.
+// Event is a fault that the soak injected.
 type Event struct {
 	At   time.Time
-	What string
-	// Gateway is the number of the gateway that it disturbs, everyGateway or
-	// noGateway.
+	Name string
+	// Gateway is the number of the affected gateway, everyGateway or noGateway.
 	Gateway int
-	// Until is when its effect on that gateway or link ended.
+	// Until is when the effect on that gateway or link ended.
 	Until time.Time
 }
 
-// Gateways of an event beside those with a number.
+// Values of Event.Gateway other than the number of a gateway.
 const (
-	// everyGateway stands for all gateways.
+	// everyGateway means that all gateways are affected.
 	everyGateway = -1
-	// noGateway stands in the event of a replica's link.
+	// noGateway means that only the link to a replica is affected.
 	noGateway = -2
 )
 
-// whatStop names a planned stop in an event.
-const whatStop = "planned stop"
+// gracefulShutdown is the name of a graceful shutdown in events.
+const gracefulShutdown = "graceful shutdown"
 
-// Record is everything that was seen.
+// Record holds everything that callers and replicas observed, and the injected faults.
 type Record struct {
 	mu     sync.Mutex
 	Calls  []Call
 	Runs   []Run
 	Events []Event
-	// Revoked maps a key to when it was taken away; Versions a version to when
-	// it was published; Left a replica to when it was listed as leaving.
+	// Revoked maps a key to the time of its revocation, Versions a version of the
+	// configuration to the time of its publication, and Draining a replica to the time
+	// when it was listed as draining.
 	Revoked  map[string]time.Time
 	Versions map[int64]time.Time
-	Left     map[string]time.Time
-	// Zones maps a replica to its zone.
+	Draining map[string]time.Time
+	// Zones maps a replica to its availability zone.
 	Zones map[string]string
-	// Starts maps a replica to when it started.
-	Starts      map[string][]time.Time
-	Arrivals    []Arrival
-	Evacuations []Evacuation
-	Limits      []Limit
-	Kills       []Kill
+	// Starts maps a replica to the times of its starts.
+	Starts        map[string][]time.Time
+	Arrivals      []Arrival
+	Evacuations   []Evacuation
+	Limits        []Limit
+	CrashingCalls []CrashingCall
 }
 
 func newRecord() *Record {
 	return &Record{
 		Revoked:  make(map[string]time.Time),
 		Versions: make(map[int64]time.Time),
-		Left:     make(map[string]time.Time),
+		Draining: make(map[string]time.Time),
 		Zones:    make(map[string]string),
 		Starts:   make(map[string][]time.Time),
 	}
 }
 
-func (r *Record) call(c Call) {
+func (r *Record) addCall(c Call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Calls = append(r.Calls, c)
 }
 
-func (r *Record) kill(k Kill) {
+func (r *Record) addCrashingCall(k CrashingCall) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Kills = append(r.Kills, k)
+	r.CrashingCalls = append(r.CrashingCalls, k)
 }
 
-func (r *Record) run(n Run) {
+func (r *Record) addRun(n Run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Runs = append(r.Runs, n)
 }
 
-func (r *Record) arrived(a Arrival) {
+func (r *Record) addArrival(a Arrival) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Arrivals = append(r.Arrivals, a)
 }
 
-func (r *Record) event(e Event) {
+func (r *Record) addEvent(e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Events = append(r.Events, e)
 }
 
-// published notes when a version was published.
-func (r *Record) published(version int64, at time.Time) {
+// addVersion records the publication of a version of the configuration.
+func (r *Record) addVersion(version int64, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Versions[version] = at
 }
 
-// revoked notes when a key was taken away.
-func (r *Record) revoked(key string, at time.Time) {
+// addRevocation records the revocation of a key.
+func (r *Record) addRevocation(key string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Revoked[key] = at
 }
 
-// left notes when a replica was listed as leaving.
-func (r *Record) left(replica string, at time.Time) {
+// addDraining records that a replica was listed as draining.
+func (r *Record) addDraining(replica string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Left[replica] = at
+	r.Draining[replica] = at
 }
 
-// listed notes a start of a replica, and its zone.
-func (r *Record) listed(replica, zone string, at time.Time) {
+// addStart records a start of a replica and its availability zone.
+func (r *Record) addStart(replica, zone string, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Zones[replica] = zone
 	r.Starts[replica] = append(r.Starts[replica], at)
 }
 
-// evacuated notes an evacuation that has ended.
-func (r *Record) evacuated(e Evacuation) {
+// addEvacuation records an evacuation that has ended.
+func (r *Record) addEvacuation(e Evacuation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Evacuations = append(r.Evacuations, e)
--- a/internal/soak/replicas.go
+++ b/internal/soak/replicas.go
@@ -8,51 +8,53 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// replica is a stand-in behind a link.
+// replica is a test double of a replica behind a link.
 type replica struct {
 	*standin.Replica
 	link *Proxy
 }
 
-// addReplica starts a replica and lists it. The caller holds the mutex, or is the
-// only one yet.
-func (w *World) addReplica() {
-	id := fmt.Sprintf("i-%d", w.nextN)
-	w.nextN++
-	w.replicas = append(w.replicas, w.startReplica(id, zoneOf(w.nextN)))
+// addReplica starts a replica and lists it. The caller holds the mutex, or nothing else
+// runs yet.
+func (h *Harness) addReplica() {
+	id := fmt.Sprintf("i-%d", h.nextReplica)
+	h.nextReplica++
+	h.replicas = append(h.replicas, h.startReplica(id, zoneOf(h.nextReplica)))
 }
 
 // startReplica starts a replica under the identity and lists it.
-func (w *World) startReplica(id, zone string) *replica {
-	delete(w.limits, id) // It has named nothing.
+func (h *Harness) startReplica(id, zone string) *replica {
+	delete(h.limits, id) // The new incarnation has not announced a limit.
 	r := &replica{}
-	r.Replica = standin.NewReplica(w.t, id, func(_ int, req standin.Request) standin.Reply { return w.reply(id, req) })
+	r.Replica = standin.NewReplica(h.t, id, func(_ int, req standin.Request) standin.Reply { return h.reply(id, req) })
 	r.Zone = zone
 	r.Born = time.Now().UnixMilli()
-	w.record.listed(id, r.Zone, time.Now())
-	r.link = w.link(r.Address())
-	w.list(r)
+	h.record.addStart(id, r.Zone, time.Now())
+	r.link = h.link(r.Address())
+	h.putEntry(r)
 	return r
 }
 
-// list lets the replica write its entry.
-func (w *World) list(r *replica) { w.store.PutReplica(r.WithAddress(r.link.Address()), pool, false) }
+// putEntry writes the store entry of the replica.
+func (h *Harness) putEntry(r *replica) {
+	h.store.PutReplica(r.WithAddress(r.link.Address()), pool, false)
+}
 
-// streamPause is the pause of a replica after its first event.
+// streamPause is the pause of a replica after the first event of a stream.
 const streamPause = 100 * time.Millisecond
 
-// refusePercent is the part of requests that replicas refuse to run.
+// refusePercent is the percentage of requests that replicas refuse to run.
 const refusePercent = 3
 
-// misbehaviour is a way in which a replica fails by itself.
-type misbehaviour struct {
-	// percent is the part of requests that it befalls.
+// replyFault is a fault in a replica's response.
+type replyFault struct {
+	// percent is the percentage of requests with this fault.
 	percent int
-	spoil   func(r *standin.Reply)
+	apply   func(r *standin.Reply)
 }
 
-// misbehaviours are what befalls requests that run.
-var misbehaviours = []misbehaviour{
+// replyFaults are the faults in the responses to requests that run.
+var replyFaults = []replyFault{
 	{2, func(r *standin.Reply) { r.CutAfter = 2 }},
 	{1, func(r *standin.Reply) { r.CutAfter = len(r.Events) }},
 	{1, func(r *standin.Reply) { r.CutAfter, r.Stall = len(r.Events), true }},
@@ -62,58 +64,59 @@
 	{1, func(r *standin.Reply) { r.CutAfter, r.CutMidEvent, r.Stall = 2, true, true }},
 }
 
-// reply is what a replica does with a request, and the limit that it names.
-func (w *World) reply(id string, req standin.Request) standin.Reply {
-	reply := w.act(id, req)
-	reply.RateLimit = w.limitOf(id)
+// reply returns a replica's response to a request, with the rate limit that the replica
+// announces.
+func (h *Harness) reply(id string, req standin.Request) standin.Reply {
+	reply := h.handle(id, req)
+	reply.RateLimit = h.currentLimit(id)
 	return reply
 }
 
-// act is what a replica does with a request; some fail by themselves.
-func (w *World) act(id string, req standin.Request) standin.Reply {
-	if s, ok := w.sheds(id); ok {
-		w.record.arrived(Arrival{ID: req.ID, Replica: id, At: time.Now(), Rest: s.rest})
+// handle returns a replica's response to a request. Some of them are faulty.
+func (h *Harness) handle(id string, req standin.Request) standin.Reply {
+	if s, ok := h.currentShedding(id); ok {
+		h.record.addArrival(Arrival{ID: req.ID, Replica: id, At: time.Now(), RetryAfter: s.retryAfter})
 		return s.reply()
 	}
-	w.record.arrived(Arrival{ID: req.ID, Replica: id, At: time.Now()})
-	dice := w.rollPercent()
+	h.record.addArrival(Arrival{ID: req.ID, Replica: id, At: time.Now()})
+	roll := h.randomPercent()
 	continues := req.ContinueFrom != ""
-	if dice < refusePercent || (continues && req.LastEvent == "") {
+	if roll < refusePercent || (continues && req.LastEvent == "") {
 		return standin.Reply{Refuse: true}
 	}
-	if req.Body == killerBody {
-		w.record.run(Run{ID: req.ID, Replica: id, At: time.Now(), Organisation: req.Tenant})
-		return w.end(id)
+	if req.Body == crashBody {
+		h.record.addRun(Run{ID: req.ID, Replica: id, At: time.Now(), Organisation: req.Tenant})
+		return h.crashReplica(id)
 	}
-	w.record.run(Run{ID: req.ID, Replica: id, At: time.Now(), Organisation: req.Tenant, Continues: continues})
-	reply := soundReply(req)
-	dice -= refusePercent
-	for _, m := range misbehaviours {
-		if dice -= m.percent; dice < 0 {
-			m.spoil(&reply)
+	h.record.addRun(Run{ID: req.ID, Replica: id, At: time.Now(), Organisation: req.Tenant, Continues: continues})
+	reply := successReply(req)
+	roll -= refusePercent
+	for _, m := range replyFaults {
+		if roll -= m.percent; roll < 0 {
+			m.apply(&reply)
 			break
 		}
 	}
 	return reply
 }
 
-// rollPercent returns 0 to 99, or 100 once no replica is to fail by itself.
-func (w *World) rollPercent() int {
-	w.mu.Lock()
-	dice := w.rng.IntN(100)
-	w.mu.Unlock()
-	if w.calm.Load() {
+// randomPercent returns 0 to 99, or 100 once replicas must not fail by themselves.
+func (h *Harness) randomPercent() int {
+	h.mu.Lock()
+	roll := h.rng.IntN(100)
+	h.mu.Unlock()
+	if h.faultsDisabled.Load() {
 		return 100
 	}
-	return dice
+	return roll
 }
 
-// soundReply is the whole answer to a request.
-func soundReply(req standin.Request) standin.Reply {
+// successReply returns the complete response to a request.
+func successReply(req standin.Request) standin.Reply {
 	kind := kindOf(req.URI)
-	reply := standin.Reply{Body: body(kind, req.ID)}
-	if streams(kind) {
-		reply.Events = eventsOf(req.ID)
+	reply := standin.Reply{Body: expectedBody(kind, req.ID)}
+	if isStream(kind) {
+		reply.Events = streamEvents(req.ID)
 		pause := make(chan struct{})
 		time.AfterFunc(streamPause, func() { close(pause) })
 		reply.Pause = pause
@@ -121,5 +124,5 @@
 	return reply
 }
 
-// zoneOf is the availability zone of the nth gateway or replica.
-func zoneOf(n int) string { return fmt.Sprintf("z%d", n%zones) }
+// zoneOf returns the availability zone of the n-th gateway or replica.
+func zoneOf(n int) string { return fmt.Sprintf("z%d", n%zoneCount) }
--- a/internal/soak/restores.go
+++ b/internal/soak/restores.go
@@ -9,45 +9,46 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// Times of a store that comes back from a copy of itself.
+// Times of a restore of the store from a backup.
 const (
-	// restoreGap is the longest pause before the next copy is made, copyAge the longest time
-	// for which it is not used.
-	restoreGap = 4 * time.Second
-	copyAge    = 2 * time.Second
-	// awayMost is how long the store may be away.
-	awayMost = 800 * time.Millisecond
-	// The operators write again within operatorsAgain of its return, upstreams within
-	// upstreamsAgain; entries that nobody renews are gone after lapse.
-	operatorsAgain = 200 * time.Millisecond
-	upstreamsAgain = time.Second
-	lapse          = 2 * time.Second
+	// maxBackupPause is the maximum pause before the next backup, maxBackupAge the
+	// maximum age of the backup when it is restored.
+	maxBackupPause = 4 * time.Second
+	maxBackupAge   = 2 * time.Second
+	// maxOutage is the maximum time that the store is offline.
+	maxOutage = 800 * time.Millisecond
+	// After the restore, the operators write again within maxOperatorDelay and the
+	// upstreams within maxUpstreamDelay. Entries that nobody renews expire after
+	// entryExpiry.
+	maxOperatorDelay = 200 * time.Millisecond
+	maxUpstreamDelay = time.Second
+	entryExpiry      = 2 * time.Second
 )
 
-// Restore lets the store come back from a copy of itself now and then, until the context
-// ends. It draws numbers of its own: a seed plays the same faults beside it.
-func (w *World) Restore(ctx context.Context, seed uint64) {
+// InjectRestores repeatedly restores the store from a backup, until the context ends. The
+// random numbers are its own, so that the other faults of a seed stay the same.
+func (h *Harness) InjectRestores(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 82)) //nolint:gosec // Seeded on purpose.
-	for loop.Pause(ctx, upTo(rng, restoreGap)) {
-		w.store.Backup()
-		if !loop.Pause(ctx, upTo(rng, copyAge)) {
+	for loop.Pause(ctx, randomBelow(rng, maxBackupPause)) {
+		h.store.Backup()
+		if !loop.Pause(ctx, randomBelow(rng, maxBackupAge)) {
 			return
 		}
-		w.during("store comes back from a copy", everyGateway, func() { w.restore(rng) })
+		h.recordDuring("store restored from a backup", everyGateway, func() { h.restore(rng) })
 	}
 }
 
-// restore lets the store come back once, and all that was lost be written again.
-func (w *World) restore(rng *rand.Rand) {
-	w.store.TakeOffline()
-	time.Sleep(upTo(rng, awayMost))
-	w.store.Restore()
-	time.Sleep(upTo(rng, operatorsAgain))
-	w.store.ReplayLostWrites(standin.OperatorPrefix)
-	w.store.ReplayLostRemovals(standin.OperatorPrefix)
-	again := upTo(rng, upstreamsAgain)
-	time.Sleep(again)
-	w.store.ReplayLostWrites(standin.ReplicaPrefix)
-	time.Sleep(lapse - again)
-	w.store.ReplayLostRemovals(standin.ReplicaPrefix)
+// restore restores the store once and lets its writers repeat the lost writes.
+func (h *Harness) restore(rng *rand.Rand) {
+	h.store.TakeOffline()
+	time.Sleep(randomBelow(rng, maxOutage))
+	h.store.Restore()
+	time.Sleep(randomBelow(rng, maxOperatorDelay))
+	h.store.ReplayLostWrites(standin.OperatorPrefix)
+	h.store.ReplayLostRemovals(standin.OperatorPrefix)
+	upstreamDelay := randomBelow(rng, maxUpstreamDelay)
+	time.Sleep(upstreamDelay)
+	h.store.ReplayLostWrites(standin.ReplicaPrefix)
+	time.Sleep(entryExpiry - upstreamDelay)
+	h.store.ReplayLostRemovals(standin.ReplicaPrefix)
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -18,83 +18,83 @@
 )
 
 var (
-	fresh    = flag.Int("seeds", 1, "number of seeds to play beside the kept ones")
-	first    = flag.Uint64("first", 1, "first of them")
-	length   = flag.Duration("length", 4*time.Second, "how long things fail in one play")
-	parallel = flag.Int("plays", 1, "plays at the same time")
+	freshSeeds    = flag.Int("seeds", 1, "number of seeds to play beside the kept ones")
+	firstSeed     = flag.Uint64("first", 1, "first of them")
+	faultDuration = flag.Duration("length", 4*time.Second, "how long things fail in one play")
+	parallelRuns  = flag.Int("plays", 1, "plays at the same time")
 )
 
-// calmLength is how long a play goes on after the last fault: callers' patience,
-// full service, and enough reads to tell.
-const calmLength = recoverWithin + 1500*time.Millisecond
+// recoveryTime is how long a run continues after the last fault: the callers' timeout,
+// the return to full service, and enough reads to measure it.
+const recoveryTime = recoveryDeadline + 1500*time.Millisecond
 
 func TestMain(m *testing.M) {
 	flag.Parse()
 	os.Exit(m.Run())
 }
 
-// play plays one seed and returns what broke a promise.
-func play(t *testing.T, binary string, seed uint64) {
+// runSeed runs one seed and reports the violations.
+func runSeed(t *testing.T, binary string, seed uint64) {
 	t.Helper()
-	w := NewWorld(t, binary, t.TempDir(), seed)
+	h := NewHarness(t, binary, t.TempDir(), seed)
 	start, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	if !w.AwaitReady(start) {
-		t.Fatalf("seed %d: the gateways never got ready (logs in %s)", seed, keep(t, w, seed))
+	if !h.AwaitReady(start) {
+		t.Fatalf("seed %d: the gateways were not ready in time (logs in %s)", seed, writeLogs(t, h, seed))
 	}
-	load, endLoad := context.WithCancel(context.Background())
+	loadCtx, endLoad := context.WithCancel(context.Background())
 	defer endLoad()
 	var group errgroup.Group
 	group.Go(func() error {
-		w.Load(load, seed)
+		h.GenerateLoad(loadCtx, seed)
 		return nil
 	})
 	group.Go(func() error {
-		w.Crash(load, seed)
+		h.InjectCrashes(loadCtx, seed)
 		return nil
 	})
 	group.Go(func() error {
-		w.Lie(load)
+		h.InjectFalseReports(loadCtx)
 		return nil
 	})
-	failing, endFaults := context.WithTimeout(context.Background(), *length)
+	faultCtx, endFaults := context.WithTimeout(context.Background(), *faultDuration)
 	defer endFaults()
 	group.Go(func() error {
-		w.Evacuate(failing, seed)
+		h.Evacuate(faultCtx, seed)
 		return nil
 	})
 	group.Go(func() error {
-		w.Notices(failing, seed)
+		h.InjectNotices(faultCtx, seed)
 		return nil
 	})
 	group.Go(func() error {
-		w.Limits(failing, seed)
+		h.Limits(faultCtx, seed)
 		return nil
 	})
 	var restores errgroup.Group
 	restores.Go(func() error {
-		w.Restore(failing, seed)
+		h.InjectRestores(faultCtx, seed)
 		return nil
 	})
-	w.Faults(failing, seed)
+	h.InjectFaults(faultCtx, seed)
 	_ = restores.Wait()
-	time.Sleep(calmLength)
+	time.Sleep(recoveryTime)
 	endLoad()
 	_ = group.Wait()
-	broken := Check(w.record)
-	t.Logf("seed %d: %d calls, %d arrivals, %d runs, %d events, %d limits, %d turns lent", seed, len(w.record.Calls), len(w.record.Arrivals),
-		len(w.record.Runs), len(w.record.Events), len(w.record.Limits), w.logged(`"lent":true`))
-	if len(broken) == 0 {
+	violations := Check(h.record)
+	t.Logf("seed %d: %d calls, %d arrivals, %d runs, %d events, %d limits, %d turns lent", seed, len(h.record.Calls), len(h.record.Arrivals),
+		len(h.record.Runs), len(h.record.Events), len(h.record.Limits), h.countInLogs(`"lent":true`))
+	if len(violations) == 0 {
 		return
 	}
-	dir := keep(t, w, seed)
-	t.Errorf("seed %d broke %d promises (logs in %s):\n%s", seed, len(broken), dir, strings.Join(broken[:min(len(broken), 12)], "\n"))
+	dir := writeLogs(t, h, seed)
+	t.Errorf("seed %d: %d violations (logs in %s):\n%s", seed, len(violations), dir, strings.Join(violations[:min(len(violations), 12)], "\n"))
 }
 
-// logged is how often the text stands in the logs of all gateways.
-func (w *World) logged(text string) int {
+// countInLogs returns how often the text occurs in the logs of all gateways.
+func (h *Harness) countInLogs(text string) int {
 	n := 0
-	for _, p := range w.procs {
+	for _, p := range h.procs {
 		p.out.mu.Lock()
 		n += bytes.Count(p.out.buf.Bytes(), []byte(text))
 		p.out.mu.Unlock()
@@ -102,14 +102,14 @@
 	return n
 }
 
-// keep writes the logs and events of a play.
-func keep(t *testing.T, w *World, seed uint64) string {
+// writeLogs writes the logs, events and calls of a run, and returns their directory.
+func writeLogs(t *testing.T, h *Harness, seed uint64) string {
 	t.Helper()
 	dir := filepath.Join(os.TempDir(), fmt.Sprintf("gladegauge-soak-%d", seed))
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		t.Fatal(err)
 	}
-	for _, p := range w.procs {
+	for _, p := range h.procs {
 		p.out.mu.Lock()
 		data := p.out.buf.Bytes()
 		p.out.mu.Unlock()
@@ -118,11 +118,11 @@
 		}
 	}
 	var text strings.Builder
-	for _, e := range w.record.Events {
-		fmt.Fprintf(&text, "%s %s to %s gateway %d\n", e.At.Format(time.RFC3339Nano), e.What, e.Until.Format(time.RFC3339Nano), e.Gateway)
+	for _, e := range h.record.Events {
+		fmt.Fprintf(&text, "%s %s to %s gateway %d\n", e.At.Format(time.RFC3339Nano), e.Name, e.Until.Format(time.RFC3339Nano), e.Gateway)
 	}
-	for _, c := range w.record.Calls {
-		fmt.Fprintf(&text, "%s call %s gateway %d life %d status %d whole %t took %v\n", c.Sent.Format(time.RFC3339Nano), c.ID, c.Gateway, c.Life, c.Status, c.Whole, c.Done.Sub(c.Sent))
+	for _, c := range h.record.Calls {
+		fmt.Fprintf(&text, "%s call %s gateway %d incarnation %d status %d whole %t took %v\n", c.Sent.Format(time.RFC3339Nano), c.ID, c.Gateway, c.Incarnation, c.Status, c.Whole, c.Done.Sub(c.Sent))
 	}
 	if err := os.WriteFile(filepath.Join(dir, "play.log"), []byte(text.String()), 0o600); err != nil {
 		t.Fatal(err)
@@ -130,8 +130,8 @@
 	return dir
 }
 
-// keptSeeds are those that ever broke a promise.
-func keptSeeds(t *testing.T) []uint64 {
+// regressionSeeds returns the seeds that once violated an invariant.
+func regressionSeeds(t *testing.T) []uint64 {
 	t.Helper()
 	f, err := os.Open("testdata/seeds.txt")
 	if err != nil {
@@ -159,19 +159,19 @@
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	seeds := keptSeeds(t)
-	for i := range *fresh {
-		seeds = append(seeds, *first+uint64(i))
+	seeds := regressionSeeds(t)
+	for i := range *freshSeeds {
+		seeds = append(seeds, *firstSeed+uint64(i))
 	}
-	slots := make(chan struct{}, *parallel)
+	slots := make(chan struct{}, *parallelRuns)
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			if *parallel > 1 {
+			if *parallelRuns > 1 {
 				t.Parallel()
 			}
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			play(t, binary, seed)
+			runSeed(t, binary, seed)
 		})
 	}
 }
