--- a/internal/e2e/bench_test.go
+++ b/internal/e2e/bench_test.go
@@ -14,8 +14,8 @@
 	"github.com/gladegauge/gladegauge/internal/standin/service"
 )
 
-// BenchmarkOverhead compares calls of a plain service that answers at once:
-// directly, and through an entry and an agent.
+// BenchmarkOverhead compares calls of a plain service without latency: direct calls, and
+// calls through an entry and an agent.
 func BenchmarkOverhead(b *testing.B) {
 	s := newStack(b, "salish")
 	e := s.entry("entry-1", "a")
@@ -24,19 +24,19 @@
 	a := s.agentAt("agent-1", "a", "player-app", server.URL)
 	s.ready()
 	http.DefaultTransport.(*http.Transport).MaxIdleConnsPerHost = 64
-	for _, way := range []struct{ name, url string }{
+	for _, target := range []struct{ name, url string }{
 		{"direct", server.URL + "/register"},
 		{"through", e.url("listen") + "/services/player-app/register"},
 	} {
 		for _, callers := range []int{1, 16} {
-			b.Run(way.name+map[int]string{1: "/one-caller", 16: "/16-callers"}[callers], func(b *testing.B) {
+			b.Run(target.name+map[int]string{1: "/one-caller", 16: "/16-callers"}[callers], func(b *testing.B) {
 				cpu := metric(e, "process_cpu_seconds_total")
 				agentCPU := metric(a, "process_cpu_seconds_total")
-				times := fire(b, way.url, callers)
+				times := runCalls(b, target.url, callers)
 				slices.Sort(times)
 				b.ReportMetric(float64(times[len(times)/2].Microseconds()), "p50-us")
 				b.ReportMetric(float64(times[len(times)*99/100].Microseconds()), "p99-us")
-				if way.name == "through" {
+				if target.name == "through" {
 					used := metric(e, "process_cpu_seconds_total") - cpu
 					b.ReportMetric(float64(len(times))/used, "req/s/entry-core")
 					used = metric(a, "process_cpu_seconds_total") - agentCPU
@@ -47,8 +47,8 @@
 	}
 }
 
-// fire makes b.N calls from a number of callers and returns their times.
-func fire(b *testing.B, url string, callers int) []time.Duration {
+// runCalls makes b.N calls from several concurrent callers and returns their latencies.
+func runCalls(b *testing.B, url string, callers int) []time.Duration {
 	var mu sync.Mutex
 	var times []time.Duration
 	b.SetParallelism(1)
@@ -60,27 +60,27 @@
 			n++
 		}
 		wg.Go(func() {
-			mine := make([]time.Duration, 0, n)
+			callerTimes := make([]time.Duration, 0, n)
 			for range n {
 				start := time.Now()
 				if got := send("POST", url, salishKey, `{"id":"x"}`); got.status != http.StatusOK {
 					b.Errorf("%d %s %v", got.status, got.body, got.err)
 					return
 				}
-				mine = append(mine, time.Since(start))
+				callerTimes = append(callerTimes, time.Since(start))
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			times = append(times, mine...)
+			times = append(times, callerTimes...)
 		})
 	}
 	wg.Wait()
 	return times
 }
 
-// BenchmarkFullSize runs one entry with the configuration and the host lists of
-// the size that is designed for, and prints what its control costs. The other
-// processes on the lists are not there.
+// BenchmarkFullSize runs one entry with a configuration and host lists of the maximum
+// supported size, and reports the cost of the control plane. The other processes on the
+// lists do not exist.
 func BenchmarkFullSize(b *testing.B) {
 	s := newStack(b, "salish")
 	for i := range 6400 {
@@ -99,7 +99,7 @@
 	s.doc.Revision++
 	s.publishConfig()
 	e := s.entry("entry-1", "a")
-	// A process that is not listed watches the platform itself.
+	// A process that is not on the list watches the platform itself.
 	s.procs = nil
 	for i := range 4300 {
 		h := &gladegaugev1.Host{Id: fmt.Sprint("absent-", i), Zone: string(rune('a' + i%2)), Address: "127.0.0.1:1", Role: gladegaugev1.Role_ROLE_ENTRY}
@@ -109,7 +109,7 @@
 		s.procs = append(s.procs, &proc{host: h})
 	}
 	s.publishHosts()
-	eventually(b, "the entry knows all", func() bool { return metric(e, "gladegauge_hosts_known") >= 4300 })
+	eventually(b, "the entry knows all hosts", func() bool { return metric(e, "gladegauge_hosts_known") >= 4300 })
 	b.ResetTimer()
 	const window = 20 * time.Second
 	cpu, sent := metric(e, "process_cpu_seconds_total"), time.Now()
@@ -131,8 +131,8 @@
 	b.ReportMetric(metric(e, "process_resident_memory_bytes")/(1<<20), "MB-resident")
 }
 
-// BenchmarkSteadyMemory keeps 200 streams going for a minute and prints the
-// resident memory of the processes after ten seconds and at the end.
+// BenchmarkSteadyMemory keeps 200 streams running for a minute and reports the resident
+// memory of the processes after ten seconds and at the end.
 func BenchmarkSteadyMemory(b *testing.B) {
 	s := newStack(b, "salish")
 	for _, p := range s.doc.GetPools() {
@@ -140,7 +140,7 @@
 	}
 	s.doc.Revision++
 	s.publishConfig()
-	s.fast = 10 * time.Millisecond
+	s.responseDelay = 10 * time.Millisecond
 	e := s.entry("entry-1", "a")
 	a := s.agent("agent-1", "a", "judge-model")
 	s.ready()
@@ -152,7 +152,7 @@
 			for n := 0; time.Now().Before(end); n++ {
 				prompt := fmt.Sprint("question ", i, n)
 				got := send("POST", e.url("listen")+"/v1/chat/completions", salishKey, chatBody(prompt, 100, true))
-				if text, complete := streamText(got.body); !complete || text != want(prompt, 100) {
+				if text, complete := streamText(got.body); !complete || text != expectedText(prompt, 100) {
 					b.Errorf("stream %d %d: %d", i, n, got.status)
 					return
 				}
--- a/internal/e2e/crash_test.go
+++ b/internal/e2e/crash_test.go
@@ -16,21 +16,21 @@
 	"github.com/gladegauge/gladegauge/internal/standin/engine"
 )
 
-// killer is the prompt of a request that ends each engine that runs it.
-const killer = "the end"
+// crashPrompt is the prompt of a request that crashes each engine that runs it.
+const crashPrompt = "the end"
 
-// fragile is an engine that ends under some requests: nothing listens at its address
-// any more, and all its connections are closed.
-type fragile struct {
-	engine *engine.Engine
-	server *httptest.Server
-	mu     sync.Mutex
-	ended  bool
+// crashingEngine is an engine that some requests crash: it closes its listener and all
+// connections.
+type crashingEngine struct {
+	engine  *engine.Engine
+	server  *httptest.Server
+	mu      sync.Mutex
+	crashed bool
 }
 
-func newFragile(t *testing.T) *fragile {
+func newCrashingEngine(t *testing.T) *crashingEngine {
 	t.Helper()
-	f := &fragile{engine: engine.New(engine.Options{Slots: 8, PerToken: time.Millisecond})}
+	f := &crashingEngine{engine: engine.New(engine.Options{Slots: 8, PerToken: time.Millisecond})}
 	f.server = httptest.NewServer(f)
 	t.Cleanup(func() {
 		f.server.CloseClientConnections()
@@ -39,12 +39,12 @@
 	return f
 }
 
-// ServeHTTP serves a request, or ends under it.
-func (f *fragile) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP serves a request, or crashes.
+func (f *crashingEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	if strings.Contains(string(body), killer) {
+	if strings.Contains(string(body), crashPrompt) {
 		f.mu.Lock()
-		f.ended = true
+		f.crashed = true
 		f.mu.Unlock()
 		_ = f.server.Listener.Close()
 		f.server.CloseClientConnections()
@@ -54,73 +54,74 @@
 	f.engine.ServeHTTP(w, r)
 }
 
-func (f *fragile) hasEnded() bool {
+func (f *crashingEngine) hasCrashed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.ended
+	return f.crashed
 }
 
-// crashStack is two entries and n agents, each beside an engine that ends under some
-// requests.
-func crashStack(t *testing.T, n int) (entries []*proc, ended func() int, rounds func()) {
+// newCrashStack starts two entries and n agents, each with a crashing engine. The
+// function crashed returns the number of crashed engines. awaitExchanges waits until the
+// entries have exchanged their observations.
+func newCrashStack(t *testing.T, n int) (entries []*proc, crashed func() int, awaitExchanges func()) {
 	t.Helper()
 	s := newStack(t, "salish")
 	entries = []*proc{s.entry("entry-1", "a"), s.entry("entry-2", "b")}
-	var engines []*fragile
+	var engines []*crashingEngine
 	for i := range n {
-		f := newFragile(t)
+		f := newCrashingEngine(t)
 		engines = append(engines, f)
 		s.agentAt(fmt.Sprintf("agent-%d", i+1), []string{"a", "b"}[i%2], "judge-model", f.server.URL)
 	}
 	s.ready()
-	ended = func() int {
+	crashed = func() int {
 		sum := 0
 		for _, f := range engines {
-			if f.hasEnded() {
+			if f.hasCrashed() {
 				sum++
 			}
 		}
 		return sum
 	}
-	// Each entry swaps what it knows with several others.
-	rounds = func() {
-		const several = 3
+	// Each entry exchanges its observations with several others.
+	awaitExchanges = func() {
+		const exchanges = 3
 		before := []float64{metric(entries[0], "gladegauge_peer_calls_total"), metric(entries[1], "gladegauge_peer_calls_total")}
-		eventually(t, "the entries have swapped what they know", func() bool {
-			return metric(entries[0], "gladegauge_peer_calls_total") >= before[0]+several &&
-				metric(entries[1], "gladegauge_peer_calls_total") >= before[1]+several
+		eventually(t, "the entries have exchanged their observations", func() bool {
+			return metric(entries[0], "gladegauge_peer_calls_total") >= before[0]+exchanges &&
+				metric(entries[1], "gladegauge_peer_calls_total") >= before[1]+exchanges
 		})
 	}
-	return entries, ended, rounds
+	return entries, crashed, awaitExchanges
 }
 
-// A request ended each engine that ran it, and came again at any entry. An agent knew
-// that its engine was gone and said no more than that the answer broke off; the entry
-// forgot the request with its answer, and sent it on to the next agent, twice for each
-// call where it may be repeated.
-func TestRequestThatEndsTheEngines(t *testing.T) {
+// A request that crashes engines is blocked after three crashes, at every entry. It could
+// crash all engines: an agent reported the crash only as a broken response, and the entry
+// forgot the request after responding and sent it to the next agent, twice per call if it
+// was idempotent.
+func TestRequestThatCrashesEngines(t *testing.T) {
 	is := is.New(t)
-	entries, ended, rounds := crashStack(t, 6)
-	call := func(i int, prompt string) answer {
+	entries, crashed, awaitExchanges := newCrashStack(t, 6)
+	call := func(i int, prompt string) response {
 		return send("POST", entries[i%2].url("listen")+"/v1/chat/completions", salishKey, chatBody(prompt, 10, true))
 	}
 	for i := range 5 {
-		got := call(i, killer)
+		got := call(i, crashPrompt)
 		is.True(got.err != nil || got.status != http.StatusOK)
-		rounds()
+		awaitExchanges()
 	}
-	is.Equal(ended(), 3)
-	missed := func() float64 {
+	is.Equal(crashed(), 3)
+	missedTargets := func() float64 {
 		return metric(entries[0], "gladegauge_target_missed_total") + metric(entries[1], "gladegauge_target_missed_total")
 	}
-	before := missed()
+	before := missedTargets()
 	for i := range entries {
-		got := call(i, killer)
+		got := call(i, crashPrompt)
 		is.Equal(got.status, http.StatusBadRequest)
-		is.Equal(got.problem(t).Error.Code, "ends_upstreams")
-		is.True(got.problem(t).Error.NotRun)
+		is.Equal(got.errorBody(t).Error.Code, "ends_upstreams")
+		is.True(got.errorBody(t).Error.NotRun)
 		is.Equal(got.header.Get("X-Should-Retry"), "false")
-		is.Equal(call(i, "story").status, http.StatusOK) // nobody else is kept out
+		is.Equal(call(i, "story").status, http.StatusOK) // other requests are not blocked
 	}
-	is.Equal(missed(), before) // what is blocked misses no target
+	is.Equal(missedTargets(), before) // blocked requests do not count as missed targets
 }
--- a/internal/e2e/docs_test.go
+++ b/internal/e2e/docs_test.go
@@ -19,10 +19,10 @@
 	tableEnd   = "<!-- settings: end -->"
 )
 
-// settingLine is a line of what the settings command prints.
+// settingLine matches one line of the output of the settings command.
 var settingLine = regexp.MustCompile(`(?m)^(-\S+) +(GLADEGAUGE_\S+) +"(.*?)" +default +(.+?) *$`)
 
-// settingsTable reads the settings of the programs from the programs.
+// settingsTable returns the table of settings according to the programs.
 func settingsTable() string {
 	type setting struct{ flag, env, value, meaning, programs string }
 	var order []*setting
@@ -47,7 +47,8 @@
 	return b.String()
 }
 
-// TestSettingsTable holds the operators' page against the programs.
+// TestSettingsTable checks that the settings table of the operators' page matches the
+// programs.
 func TestSettingsTable(t *testing.T) {
 	is := is.New(t)
 	const page = "../../docs/OPERATIONS.md"
@@ -55,7 +56,7 @@
 	is.NoErr(err)
 	before, rest, ok := strings.Cut(string(text), tableBegin)
 	is.True(ok)
-	held, after, ok := strings.Cut(rest, tableEnd)
+	documented, after, ok := strings.Cut(rest, tableEnd)
 	is.True(ok)
 	want := settingsTable()
 	is.True(strings.Contains(want, "`-upstream-url`"))
@@ -63,5 +64,5 @@
 		is.NoErr(os.WriteFile(page, []byte(before+tableBegin+want+tableEnd+after), 0o600))
 		return
 	}
-	is.Equal(held, want)
+	is.Equal(documented, want)
 }
--- a/internal/e2e/failure_test.go
+++ b/internal/e2e/failure_test.go
@@ -19,24 +19,25 @@
 	"github.com/gladegauge/gladegauge/internal/standin/service"
 )
 
-// TestKilledAgent kills an agent while it streams: the answer continues on the
-// other upstream, byte for byte.
+// TestKilledAgent kills an agent while it streams: the response continues on the other
+// upstream, byte for byte.
 func TestKilledAgent(t *testing.T) {
 	is := is.New(t)
 	s, e, agents := newPair(t, "judge-model", 10*time.Millisecond)
-	got := s.disturb(func() answer {
+	got := s.actDuring(func() response {
 		return send("POST", e.url("listen")+"/v1/chat/completions", salishKey, chatBody("story", 300, true))
-	}, func(id string) bool { return s.streams(agents[id]) }, func(id string) { agents[id].kill() })
+	}, func(id string) bool { return s.isStreaming(agents[id]) }, func(id string) { agents[id].kill() })
 	text, complete := streamText(got.body)
 	is.NoErr(got.err)
 	is.True(complete)
-	is.Equal(text, want("story", 300))
+	is.Equal(text, expectedText("story", 300))
 	is.Equal(metric(e, "gladegauge_resumes_total"), 1.0)
 }
 
-// TestCutStreams breaks every stream off with nowhere else to go: no caller
-// takes a part for the whole, each request is counted, and nothing is left.
-func TestCutStreams(t *testing.T) {
+// TestBrokenStreams breaks every stream when there is no other upstream: no caller takes
+// a partial response for a complete one, each request is counted, and no goroutines are
+// left.
+func TestBrokenStreams(t *testing.T) {
 	is := is.New(t)
 	s := newStack(t, "salish")
 	e := s.entry("entry-1", "a")
@@ -44,27 +45,27 @@
 	s.ready()
 	s.engines["agent-1"].SetFault(engine.Fault{CutAfter: 5})
 	before := metric(e, "go_goroutines")
-	const asked = 30
-	for range asked {
+	const requestCount = 30
+	for range requestCount {
 		got := send("POST", e.url("listen")+"/v1/chat/completions", salishKey, chatBody("x", 50, true))
 		_, complete := streamText(got.body)
 		is.True(!complete)
 		is.True(got.err != nil || got.status != http.StatusOK)
 	}
 	http.DefaultClient.CloseIdleConnections()
-	eventually(t, "the requests are counted", func() bool { return metric(e, "gladegauge_requests_total") == asked })
+	eventually(t, "all requests are counted", func() bool { return metric(e, "gladegauge_requests_total") == requestCount })
 	eventually(t, "the entry's goroutines end", func() bool { return metric(e, "go_goroutines") <= before+8 })
 }
 
-// TestKilledEntry kills an entry while it relays: the agent cancels the run.
+// TestKilledEntry kills an entry while it relays a stream: the agent cancels the request.
 func TestKilledEntry(t *testing.T) {
 	is := is.New(t)
 	s, e, agents := newPair(t, "judge-model", 20*time.Millisecond)
-	got := s.disturb(func() answer {
+	got := s.actDuring(func() response {
 		return send("POST", e.url("listen")+"/v1/chat/completions", salishKey, chatBody("story", 4000, true))
-	}, func(id string) bool { return s.streams(agents[id]) }, func(string) { e.kill() })
-	is.True(got.err != nil) // No part passes for the whole.
-	eventually(t, "nothing runs on", func() bool {
+	}, func(id string) bool { return s.isStreaming(agents[id]) }, func(string) { e.kill() })
+	is.True(got.err != nil) // A partial response is not reported as complete.
+	eventually(t, "all requests are cancelled", func() bool {
 		running := 0
 		for _, eng := range s.engines {
 			n, _, _ := eng.Counts()
@@ -74,36 +75,36 @@
 	})
 }
 
-// TestSlowSender never ends its headers; the entry closes the connection.
-func TestSlowSender(t *testing.T) {
+// TestSlowHeaders sends request headers that never end: the entry closes the connection.
+func TestSlowHeaders(t *testing.T) {
 	is := is.New(t)
 	s := newStack(t, "salish")
 	e := s.entry("entry-1", "a")
-	conn, err := net.Dial("tcp", e.at("listen"))
+	conn, err := net.Dial("tcp", e.addressOf("listen"))
 	is.NoErr(err)
 	defer conn.Close()
 	_, err = conn.Write([]byte("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nX-Slow: "))
 	is.NoErr(err)
-	is.NoErr(conn.SetReadDeadline(time.Now().Add(patience)))
+	is.NoErr(conn.SetReadDeadline(time.Now().Add(waitTimeout)))
 	_, err = io.ReadAll(conn)
 	is.NoErr(err) // Closed by the entry, not by the deadline.
 }
 
-// TestHangingEngine lets an engine stop in the middle of an answer without
-// breaking its connection: the answer continues on the other one.
+// TestHangingEngine makes an engine hang during a stream without closing the connection:
+// the response continues on the other engine.
 func TestHangingEngine(t *testing.T) {
 	is := is.New(t)
 	s, e, agents := newPair(t, "judge-model", 10*time.Millisecond)
-	got := s.disturb(func() answer {
+	got := s.actDuring(func() response {
 		return send("POST", e.url("listen")+"/v1/chat/completions", salishKey, chatBody("story", 300, true))
-	}, func(id string) bool { return s.streams(agents[id]) }, func(id string) { s.engines[id].SetFault(engine.Fault{Hang: true}) })
+	}, func(id string) bool { return s.isStreaming(agents[id]) }, func(id string) { s.engines[id].SetFault(engine.Fault{Hang: true}) })
 	text, complete := streamText(got.body)
 	is.NoErr(got.err)
 	is.True(complete)
-	is.Equal(text, want("story", 300))
+	is.Equal(text, expectedText("story", 300))
 }
 
-// newTwoAgents starts an entry and two agents, each before an engine.
+// newTwoAgents starts an entry and two agents, each with an engine.
 func newTwoAgents(t *testing.T) (*stack, *proc) {
 	t.Helper()
 	s := newStack(t, "salish")
@@ -114,8 +115,8 @@
 	return s, e
 }
 
-// TestFailingEngine lets one engine answer with errors of its own: rulings run
-// on the other one, and the retries stay within their budget.
+// TestFailingEngine makes one engine fail all requests: they succeed on the other engine.
+// When both fail, the retries stay within their budget.
 func TestFailingEngine(t *testing.T) {
 	is := is.New(t)
 	s, e := newTwoAgents(t)
@@ -125,25 +126,26 @@
 		got := send("POST", e.url("listen")+"/v1/chat/completions", salishKey, chatBody(prompt, 5, true))
 		text, complete := streamText(got.body)
 		is.True(complete)
-		is.Equal(text, want(prompt, 5))
+		is.Equal(text, expectedText(prompt, 5))
 	}
 	s.engines["agent-2"].SetFault(engine.Fault{Fail: true})
 	_, one, _ := s.engines["agent-1"].Counts()
 	_, two, _ := s.engines["agent-2"].Counts()
-	const asked = 100
-	for range asked {
+	const requestCount = 100
+	for range requestCount {
 		got := send("POST", e.url("listen")+"/v1/chat/completions", salishKey, chatBody("x", 5, true))
 		is.True(got.status == http.StatusBadGateway || got.status == http.StatusServiceUnavailable)
 	}
 	_, oneNow, _ := s.engines["agent-1"].Counts()
 	_, twoNow, _ := s.engines["agent-2"].Counts()
-	is.True(float64(oneNow-one+twoNow-two) <= 1.2*asked)
+	is.True(float64(oneNow-one+twoNow-two) <= 1.2*requestCount)
 }
 
-// TestRestingEngine lets one engine refuse requests and ask for rest: its agent leaves it
-// alone, and rulings run on the other one. Agents passed on or repeated elsewhere what it
-// refused, and sent it the next request: 20 of 20.
-func TestRestingEngine(t *testing.T) {
+// TestEngineRetryAfter makes one engine reject requests with a Retry-After header: its
+// agent sends it no more requests, and they succeed on the other engine. Agents used to
+// return or retry the rejected request and send the next one to the same engine, 20 of
+// 20.
+func TestEngineRetryAfter(t *testing.T) {
 	is := is.New(t)
 	s, e := newTwoAgents(t)
 	s.engines["agent-1"].SetFault(engine.Fault{RetryAfter: 60})
@@ -152,7 +154,7 @@
 		got := send("POST", e.url("listen")+"/v1/chat/completions", salishKey, chatBody(prompt, 5, true))
 		text, complete := streamText(got.body)
 		is.True(complete)
-		is.Equal(text, want(prompt, 5))
+		is.Equal(text, expectedText(prompt, 5))
 	}
 	_, started, _ := s.engines["agent-1"].Counts()
 	is.True(started <= 2)
@@ -162,21 +164,21 @@
 	}
 	got := send("POST", e.url("listen")+"/v1/chat/completions", salishKey, chatBody("x", 5, true))
 	is.Equal(got.status, http.StatusServiceUnavailable)
-	comeBack, err := strconv.Atoi(got.header.Get("Retry-After"))
+	retryAfter, err := strconv.Atoi(got.header.Get("Retry-After"))
 	is.NoErr(err)
-	is.True(comeBack > 30 && comeBack <= 60)
+	is.True(retryAfter > 30 && retryAfter <= 60)
 }
 
-// TestLostRegistration makes a plain service run a call and drop its answer,
-// and kills an agent during another: neither is repeated, and neither is said
-// to be not run.
-func TestLostRegistration(t *testing.T) {
+// TestLostResponse makes a plain service drop the response after running a call, and
+// kills an agent during another call: neither call is retried, and neither is reported as
+// not run.
+func TestLostResponse(t *testing.T) {
 	is := is.New(t)
 	s, e, agents := newPair(t, "player-app", 300*time.Millisecond)
 	runs := func(ticket string) int {
 		return s.services["agent-1"].Runs()[ticket] + s.services["agent-2"].Runs()[ticket]
 	}
-	register := func(ticket string) answer {
+	register := func(ticket string) response {
 		return send("POST", e.url("listen")+"/services/player-app/register", salishKey, `{"id":"`+ticket+`"}`)
 	}
 	for _, svc := range s.services {
@@ -184,7 +186,7 @@
 	}
 	got := register("t1")
 	is.Equal(got.status, http.StatusBadGateway)
-	p := got.problem(t)
+	p := got.errorBody(t)
 	is.True(p.Error.OutcomeUnknown)
 	is.True(!p.Error.NotRun)
 	is.Equal(got.header.Get("X-Should-Retry"), "false")
@@ -193,16 +195,16 @@
 	for _, svc := range s.services {
 		svc.SetFault(service.None)
 	}
-	got = s.disturb(func() answer { return register("t2") },
+	got = s.actDuring(func() response { return register("t2") },
 		func(id string) bool { return s.services[id].Runs()["t2"] > 0 },
 		func(id string) { agents[id].kill() })
-	is.True(got.problem(t).Error.OutcomeUnknown)
+	is.True(got.errorBody(t).Error.OutcomeUnknown)
 	is.Equal(runs("t2"), 1)
 	is.Equal(register("t3").status, http.StatusOK)
 	is.Equal(runs("t3"), 1)
 }
 
-// TestIdempotencyKey uses a key twice, and after its agent is gone.
+// TestIdempotencyKey uses a key twice, and uses a key after its agent was killed.
 func TestIdempotencyKey(t *testing.T) {
 	is := is.New(t)
 	s := newStack(t, "salish")
@@ -215,29 +217,29 @@
 		is.NoErr(json.Unmarshal([]byte(got.body), &k))
 		return k.Key
 	}
-	use := func(key, ticket string) answer {
+	use := func(key, ticket string) response {
 		return send("POST", e.url("listen")+"/services/player-app/register", salishKey, `{"id":"`+ticket+`"}`, "Idempotency-Key", key)
 	}
 	key := issue()
 	is.Equal(use(key, "t1").status, http.StatusOK)
 	again := use(key, "t1")
 	is.Equal(again.status, http.StatusConflict)
-	is.Equal(again.problem(t).Error.Code, "already_run")
+	is.Equal(again.errorBody(t).Error.Code, "already_run")
 	is.Equal(s.services["agent-1"].Runs()["t1"], 1)
 	other := send("POST", e.url("listen")+"/services/player-app/register", "demo-salish-hope-tables", `{"id":"t2"}`, "Idempotency-Key", issue())
-	is.Equal(other.problem(t).Error.Code, "invalid_idempotency_key")
+	is.Equal(other.errorBody(t).Error.Code, "invalid_idempotency_key")
 	key = issue()
 	a.kill()
 	gone := use(key, "t3")
-	is.True(gone.problem(t).Error.OutcomeUnknown)
+	is.True(gone.errorBody(t).Error.OutcomeUnknown)
 }
 
-// TestPlannedStop stops an agent and an entry in the middle of streams: each
-// stream completes, nothing new is taken, and both exit with 0.
-func TestPlannedStop(t *testing.T) {
+// TestGracefulShutdown shuts down an agent and an entry during streams: each stream
+// completes, new requests are rejected, and both processes exit with code 0.
+func TestGracefulShutdown(t *testing.T) {
 	is := is.New(t)
 	s := newStack(t, "salish")
-	s.fast = 5 * time.Millisecond
+	s.responseDelay = 5 * time.Millisecond
 	e := s.entry("entry-1", "a")
 	a := s.agent("agent-1", "a", "judge-model")
 	s.ready()
@@ -246,18 +248,18 @@
 		group.Go(func() error {
 			prompt := fmt.Sprintf("ruling %d", i)
 			got := send("POST", e.url("listen")+"/v1/chat/completions", salishKey, chatBody(prompt, 200, true))
-			if text, complete := streamText(got.body); got.err != nil || !complete || text != want(prompt, 200) {
-				return fmt.Errorf("stream %d was cut: %d %w", i, got.status, got.err)
+			if text, complete := streamText(got.body); got.err != nil || !complete || text != expectedText(prompt, 200) {
+				return fmt.Errorf("stream %d is incomplete: status %d: %w", i, got.status, got.err)
 			}
 			return nil
 		})
 	}
-	eventually(t, "all run", func() bool { running, _, _ := s.engines["agent-1"].Counts(); return running == 8 })
+	eventually(t, "all streams run", func() bool { running, _, _ := s.engines["agent-1"].Counts(); return running == 8 })
 	a.signal(syscall.SIGTERM)
 	eventually(t, "the agent is not ready", func() bool { return status(a.url("ops-listen")+"/readyz") != http.StatusOK })
 	refused := send("POST", e.url("listen")+"/v1/chat/completions", salishKey, chatBody("new", 5, false))
 	is.Equal(refused.status, http.StatusServiceUnavailable)
-	is.True(refused.problem(t).Error.NotRun)
+	is.True(refused.errorBody(t).Error.NotRun)
 	is.True(refused.header.Get("Retry-After") != "")
 	e.signal(syscall.SIGTERM)
 	is.NoErr(group.Wait())
@@ -268,11 +270,12 @@
 	is.Equal(dropped, 0)
 }
 
-// TestSecondSignal ends at once and says what it cut.
+// TestSecondSignal checks that a second signal ends the process at once, and that the log
+// reports the aborted requests.
 func TestSecondSignal(t *testing.T) {
 	is := is.New(t)
 	s := newStack(t, "salish")
-	s.fast = 20 * time.Millisecond
+	s.responseDelay = 20 * time.Millisecond
 	e := s.entry("entry-1", "a")
 	a := s.agent("agent-1", "a", "judge-model")
 	s.ready()
@@ -281,7 +284,7 @@
 		_ = send("POST", e.url("listen")+"/v1/chat/completions", salishKey, chatBody("x", 4000, true))
 		return nil
 	})
-	eventually(t, "it runs", func() bool { running, _, _ := s.engines["agent-1"].Counts(); return running == 1 })
+	eventually(t, "the request runs", func() bool { running, _, _ := s.engines["agent-1"].Counts(); return running == 1 })
 	a.signal(syscall.SIGTERM)
 	eventually(t, "the agent is not ready", func() bool { return status(a.url("ops-listen")+"/readyz") != http.StatusOK })
 	a.signal(syscall.SIGTERM)
--- a/internal/e2e/gateway_test.go
+++ b/internal/e2e/gateway_test.go
@@ -21,7 +21,7 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// lockedBuffer is the output of a process, read while it is written.
+// lockedBuffer holds the output of a process and can be read while the process writes.
 type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -39,7 +39,7 @@
 	return b.buf.String()
 }
 
-// gatewayProcess is the real gateway on the stand-in of the users' platform.
+// gatewayProcess is a real gateway with test doubles of the users' platform.
 type gatewayProcess struct {
 	t        *testing.T
 	d        *standin.Deployment
@@ -49,7 +49,7 @@
 	callers  string
 }
 
-// freeAddress is a loopback address that nobody listens on.
+// freeAddress returns an unused loopback address.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -97,17 +97,17 @@
 
 func (g *gatewayProcess) await(what string, done func() bool) {
 	g.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if done() {
 			return
 		}
 	}
-	g.t.Fatalf("never %s", what)
+	g.t.Fatalf("gateway not in time: %s", what)
 }
 
-// line returns the fields of the first log line with the message and, if it is
-// not empty, the request.
-func (g *gatewayProcess) line(message, request string) map[string]any {
+// logEntry returns the fields of the first log entry with the message and, unless it is
+// empty, the request identity.
+func (g *gatewayProcess) logEntry(message, request string) map[string]any {
 	for _, text := range strings.Split(g.out.String(), "\n") {
 		var fields map[string]any
 		if json.Unmarshal([]byte(text), &fields) != nil || fields["message"] != message {
@@ -125,41 +125,42 @@
 		standin.Request{ID: id, Host: standin.DemoHost, URI: path, Key: standin.DemoKey, DeadlineMs: 5000, Body: "hello"})
 }
 
-// A request can be followed through the log by its identity, a refused one
-// too, and a planned stop ends the process in order.
-func TestGatewayFromStartToStop(t *testing.T) {
+// Each request, also a rejected one, can be traced in the log by its identity, and a
+// graceful shutdown ends the process in order.
+func TestGatewayLifecycle(t *testing.T) {
 	is := is.New(t)
 	g := startGateway(t)
 	for _, path := range []string{"/chat/1", "/read/1", "/write/1"} {
 		a := g.call("id"+path, path)
 		is.Equal(a.Status, 200)
 		is.True(a.Whole && a.Sealed())
-		g.await("logged", func() bool { return g.line("ended", "id"+path) != nil })
-		picked := g.line("picked", "id"+path)
+		g.await("logged", func() bool { return g.logEntry("ended", "id"+path) != nil })
+		picked := g.logEntry("picked", "id"+path)
 		is.True(picked["upstream"] != "" && picked["version"] == 1.0 && picked["view_age"] != nil)
-		is.Equal(g.line("ended", "id"+path)["result"], "completed")
+		is.Equal(g.logEntry("ended", "id"+path)["result"], "completed")
 	}
 	is.Equal(g.call("refused", "/none/").Status, 404)
-	g.await("logged", func() bool { return g.line("ended", "refused") != nil })
-	is.Equal(g.line("ended", "refused")["reason"], "no_route")
+	g.await("logged", func() bool { return g.logEntry("ended", "refused") != nil })
+	is.Equal(g.logEntry("ended", "refused")["reason"], "no_route")
 
 	is.NoErr(g.cmd.Process.Signal(syscall.SIGHUP))
-	g.await("reloaded", func() bool { return g.line("settings: taken", "") != nil })
+	g.await("reloaded", func() bool { return g.logEntry("settings: taken", "") != nil })
 	is.NoErr(os.WriteFile(g.settings, []byte("zone=\n"), 0o600))
 	is.NoErr(g.cmd.Process.Signal(syscall.SIGHUP))
-	g.await("refused the settings", func() bool { return g.line("settings: faulty, nothing changed", "") != nil })
+	g.await("rejected the settings", func() bool { return g.logEntry("settings: faulty, nothing changed", "") != nil })
 	is.Equal(g.call("after", "/read/1").Status, 200)
 
 	is.NoErr(g.cmd.Process.Signal(syscall.SIGTERM))
-	g.await("stopping", func() bool { return g.line("planned stop: not ready for new callers", "") != nil })
+	g.await("stopping", func() bool { return g.logEntry("planned stop: not ready for new callers", "") != nil })
 	is.Equal(g.call("late", "/write/2").Status, 200)
 	is.NoErr(g.cmd.Wait())
-	is.True(g.line("stopped", "") != nil)
+	is.True(g.logEntry("stopped", "") != nil)
 	is.Equal(len(g.d.RanTwice()), 0)
 }
 
-// Faulty settings end the start with every field named.
-func TestGatewayFaultySettings(t *testing.T) {
+// With invalid settings the gateway does not start, and the error names every invalid
+// field.
+func TestGatewayInvalidSettings(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "settings.conf")
 	is.NoErr(os.WriteFile(path, []byte(standin.FaultySettings), 0o600))
--- a/internal/e2e/operate_test.go
+++ b/internal/e2e/operate_test.go
@@ -25,9 +25,10 @@
 	"github.com/gladegauge/gladegauge/internal/standin/published"
 )
 
-// TestChangeInForce publishes a change and expects it on every process within
-// 4 s, with a watcher killed right before, and a bad revision to change nothing.
-func TestChangeInForce(t *testing.T) {
+// TestConfigurationChange publishes a change and checks that it is in force on every
+// process within 4 s, although a process that watches the platform was killed right
+// before, and that an invalid revision changes nothing.
+func TestConfigurationChange(t *testing.T) {
 	is := is.New(t)
 	s := newStack(t, "salish")
 	s.entry("entry-1", "a")
@@ -55,7 +56,7 @@
 	is.True(took < 4*time.Second)
 
 	s.doc.Revision = 3
-	good := s.doc.Classes[0].Tier
+	validTier := s.doc.Classes[0].Tier
 	s.doc.Classes[0].Tier = 9
 	s.publishConfig()
 	eventually(t, "the bad revision was rejected", func() bool {
@@ -66,10 +67,10 @@
 		return sum > 0
 	})
 	late := s.entry("entry-3", "b")
-	eventually(t, "a process that starts now takes revision 2", func() bool {
+	eventually(t, "a process that starts now loads revision 2", func() bool {
 		return metric(late, "gladegauge_configuration_revision") == 2 && status(late.url("ops-listen")+"/readyz") == http.StatusOK
 	})
-	s.doc.Classes[0].Tier = good
+	s.doc.Classes[0].Tier = validTier
 }
 
 func remove(procs []*proc, p *proc) []*proc {
@@ -82,26 +83,27 @@
 	return rest
 }
 
-// TestPlatformGone starts an agent and serves while the platform is down.
-func TestPlatformGone(t *testing.T) {
+// TestPlatformDown checks that an agent starts and requests are served while the platform
+// is down.
+func TestPlatformDown(t *testing.T) {
 	is := is.New(t)
 	s := newStack(t, "salish")
 	e := s.entry("entry-1", "a")
 	s.agent("agent-1", "a", "judge-model")
 	s.ready()
 	s.platform.SetFault(published.Down)
-	late := s.agent("agent-2", "a", "judge-model", "-seeds", e.at("rpc-listen"))
+	late := s.agent("agent-2", "a", "judge-model", "-seeds", e.addressOf("rpc-listen"))
 	eventually(t, "the new agent is ready", func() bool { return status(late.url("ops-listen")+"/readyz") == http.StatusOK })
 	got := send("POST", e.url("listen")+"/v1/chat/completions", salishKey, chatBody("x", 5, false))
 	is.Equal(got.status, http.StatusOK)
 }
 
-// TestPausedAgent freezes an agent; its requests run elsewhere, and what it
-// held is not run when it wakes.
+// TestPausedAgent pauses an agent: its requests run elsewhere, and the agent does not run
+// them when it resumes.
 func TestPausedAgent(t *testing.T) {
 	is := is.New(t)
 	s := newStack(t, "salish")
-	s.fast = 30 * time.Millisecond
+	s.responseDelay = 30 * time.Millisecond
 	e := s.entry("entry-1", "a")
 	frozen := s.agent("agent-1", "a", "player-app")
 	s.agent("agent-2", "b", "player-app")
@@ -120,43 +122,43 @@
 	}
 	is.NoErr(group.Wait())
 	frozen.signal(syscall.SIGCONT)
-	eventually(t, "the agent has let go", func() bool {
+	eventually(t, "the agent holds no requests", func() bool {
 		return metric(frozen, "gladegauge_running") == 0 && metric(frozen, "gladegauge_queued") == 0
 	})
 	is.Equal(len(s.services["agent-1"].Runs()), 0)
 	is.Equal(len(s.services["agent-2"].Runs()), 12)
 }
 
-// TestLeavingUpstream begins a planned stop and measures when the last new
-// request reaches the upstream.
-func TestLeavingUpstream(t *testing.T) {
+// TestDrainingUpstream shuts down an agent and checks that no new requests reach its
+// upstream once it is not ready.
+func TestDrainingUpstream(t *testing.T) {
 	is := is.New(t)
 	s := newStack(t, "salish")
 	e := s.entry("entry-1", "a")
-	leaving := s.agent("agent-1", "a", "judge-model")
+	draining := s.agent("agent-1", "a", "judge-model")
 	s.agent("agent-2", "b", "judge-model")
 	s.ready()
-	ask := func() int {
+	sendChat := func() int {
 		return send("POST", e.url("listen")+"/v1/chat/completions", salishKey, chatBody("x", 3, false)).status
 	}
 	for range 30 {
-		is.Equal(ask(), http.StatusOK)
+		is.Equal(sendChat(), http.StatusOK)
 	}
 	_, before, _ := s.engines["agent-1"].Counts()
 	is.True(before > 0)
-	leaving.signal(syscall.SIGTERM)
-	eventually(t, "the agent is not ready", func() bool { return status(leaving.url("ops-listen")+"/readyz") != http.StatusOK })
+	draining.signal(syscall.SIGTERM)
+	eventually(t, "the agent is not ready", func() bool { return status(draining.url("ops-listen")+"/readyz") != http.StatusOK })
 	_, before, _ = s.engines["agent-1"].Counts()
 	for range 30 {
-		is.Equal(ask(), http.StatusOK)
+		is.Equal(sendChat(), http.StatusOK)
 	}
 	_, after, _ := s.engines["agent-1"].Counts()
 	is.Equal(after, before)
-	is.Equal(leaving.exit(), 0)
+	is.Equal(draining.exit(), 0)
 }
 
-// TestOrders loads a version and adapters on upstreams that check fences and
-// on one that does not; a predecessor's late order does nothing that lasts.
+// TestOrders loads a version and adapters on an upstream that checks fencing tokens and
+// on one that does not. A late order with an older token is rejected or reverted.
 func TestOrders(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -179,7 +181,7 @@
 				st := eng.State()
 				return st.Version == "2" && len(st.Adapters) == 1 && st.Adapters[0] == "rules-en" && st.Role == "decode"
 			}
-			eventually(t, "it is loaded", loaded)
+			eventually(t, "the configured state is loaded", loaded)
 			n := len(eng.Orders())
 			is.Equal(n, 3)
 			late := send("POST", server+"/v1/orders", "", `{"kind":"version","name":"1"}`, "X-Fence", "00000000000000000004-0")
@@ -188,18 +190,18 @@
 				is.True(loaded())
 				return
 			}
-			eventually(t, "it is loaded again", loaded)
+			eventually(t, "the configured state is loaded again", loaded)
 		})
 	}
 }
 
-// authority signs certificates for a test.
+// authority is a certificate authority for tests.
 type authority struct {
-	t    *testing.T
-	dir  string
-	cert *x509.Certificate
-	key  *ecdsa.PrivateKey
-	life time.Duration
+	t        *testing.T
+	dir      string
+	cert     *x509.Certificate
+	key      *ecdsa.PrivateKey
+	validity time.Duration
 }
 
 func newAuthority(t *testing.T, dir string) *authority {
@@ -214,7 +216,7 @@
 		t.Fatal(err)
 	}
 	cert, _ := x509.ParseCertificate(der)
-	a := &authority{t: t, dir: dir, cert: cert, key: key, life: time.Hour}
+	a := &authority{t: t, dir: dir, cert: cert, key: key, validity: time.Hour}
 	a.write("ca.crt", "CERTIFICATE", der)
 	return a
 }
@@ -226,13 +228,13 @@
 	}
 }
 
-// issue writes a certificate of a role, and returns the flags that use it.
+// issue writes a certificate for the role and returns the flags that use it.
 func (a *authority) issue(name, role string) []string {
 	key, _ := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(time.Now().UnixNano()),
 		Subject:      pkix.Name{CommonName: name, OrganizationalUnit: []string{role}},
-		NotBefore:    time.Now().Add(-time.Hour), NotAfter: time.Now().Add(a.life),
+		NotBefore:    time.Now().Add(-time.Hour), NotAfter: time.Now().Add(a.validity),
 		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
@@ -253,20 +255,21 @@
 	return string(text), cmd.ProcessState.ExitCode()
 }
 
-// TestKeys serves over mutual TLS, refuses an entry that acts as an operator
-// and a stranger, and takes replaced certificates without a restart.
-func TestKeys(t *testing.T) {
+// TestMutualTLS serves over mutual TLS, rejects an entry that calls an operator method
+// and a certificate of another authority, and loads a replaced certificate without a
+// restart.
+func TestMutualTLS(t *testing.T) {
 	is := is.New(t)
 	ca := newAuthority(t, t.TempDir())
 	s := newStack(t, "salish")
 	e := s.entry("entry-1", "a", ca.issue("entry-1", "entry")...)
 	a := s.agent("agent-1", "a", "judge-model", ca.issue("agent-1", "agent")...)
 	s.ready()
-	ask := func() int {
+	sendChat := func() int {
 		return send("POST", e.url("listen")+"/v1/chat/completions", salishKey, chatBody("x", 3, false)).status
 	}
-	is.Equal(ask(), http.StatusOK)
-	processes := e.at("rpc-listen") + "," + a.at("rpc-listen")
+	is.Equal(sendChat(), http.StatusOK)
+	processes := e.addressOf("rpc-listen") + "," + a.addressOf("rpc-listen")
 	status := func(flags []string) (string, int) {
 		return ctl(append([]string{"status", "-processes", processes}, flags...)...)
 	}
@@ -276,24 +279,24 @@
 	text, code = status(ca.issue("entry-2", "entry"))
 	is.Equal(code, 1)
 	is.True(strings.Contains(text, "role may not do this") || strings.Contains(text, "permission_denied"))
-	stranger := newAuthority(t, t.TempDir())
-	_, code = status(stranger.issue("operator-1", "operator"))
+	untrusted := newAuthority(t, t.TempDir())
+	_, code = status(untrusted.issue("operator-1", "operator"))
 	is.Equal(code, 1)
 	_, code = ctl("status", "-processes", processes, "-insecure-plaintext")
 	is.Equal(code, 1)
 
 	before := metric(a, "gladegauge_certificate_expiry_seconds")
-	ca.life *= 2
+	ca.validity *= 2
 	ca.issue("agent-1", "agent")
 	eventually(t, "the new certificate is in use", func() bool {
 		_, _ = status(ca.issue("operator-1", "operator"))
 		return metric(a, "gladegauge_certificate_expiry_seconds") > before
 	})
-	is.Equal(ask(), http.StatusOK)
+	is.Equal(sendChat(), http.StatusOK)
 }
 
-// TestOperatorsTools uses each subcommand that calls processes.
-func TestOperatorsTools(t *testing.T) {
+// TestOperatorCommands runs each subcommand that calls processes.
+func TestOperatorCommands(t *testing.T) {
 	is := is.New(t)
 	s := newStack(t, "salish")
 	e := s.entry("entry-1", "a")
@@ -303,7 +306,7 @@
 		is.Equal(send("POST", e.url("listen")+"/v1/chat/completions", salishKey, chatBody("x", 3, false)).status, http.StatusOK)
 	}
 	example := filepath.Join("..", "..", "examples", "salish")
-	entryAt := []string{"-insecure-plaintext", "-processes", e.at("rpc-listen")}
+	entryAt := []string{"-insecure-plaintext", "-processes", e.addressOf("rpc-listen")}
 	run := func(name string, args ...string) (string, int) {
 		return ctl(append(append([]string{name}, entryAt...), args...)...)
 	}
@@ -322,17 +325,18 @@
 	html, err := os.ReadFile(page)
 	is.NoErr(err)
 	is.True(strings.Contains(string(html), "<svg"))
-	_, code = ctl("drain", "-insecure-plaintext", "-processes", a.at("rpc-listen"))
+	_, code = ctl("drain", "-insecure-plaintext", "-processes", a.addressOf("rpc-listen"))
 	is.Equal(code, 0)
-	_, code = ctl("status", "-insecure-plaintext", "-processes", a.at("rpc-listen"))
+	_, code = ctl("status", "-insecure-plaintext", "-processes", a.addressOf("rpc-listen"))
 	is.Equal(code, 1)
 	got := send("POST", e.url("listen")+"/v1/chat/completions", salishKey, chatBody("x", 3, false))
-	is.Equal(got.problem(t).Error.Code, "no_upstream")
-	is.True(got.problem(t).Error.NotRun)
+	is.Equal(got.errorBody(t).Error.Code, "no_upstream")
+	is.True(got.errorBody(t).Error.NotRun)
 }
 
-// TestSettings names every fault in one message and exits with 2.
-func TestSettings(t *testing.T) {
+// TestInvalidSettings checks that one message names every invalid setting and that the
+// exit code is 2.
+func TestInvalidSettings(t *testing.T) {
 	is := is.New(t)
 	cmd := exec.Command(filepath.Join(binaries, "gladegauge-agent"), "run", "-zone", "a b", "-rpc-listen", "localhost", "-log-level", "loud")
 	cmd.Env = append(os.Environ(), "GLADEGAUGE_UPSTREAM_URL=ftp://x")
--- a/internal/e2e/path_test.go
+++ b/internal/e2e/path_test.go
@@ -25,8 +25,8 @@
 	judge     = "judge"
 )
 
-// answer is a response of an entry.
-type answer struct {
+// response is the response of an entry.
+type response struct {
 	status int
 	header http.Header
 	body   string
@@ -42,20 +42,20 @@
 	} `json:"error"`
 }
 
-func (a answer) problem(t *testing.T) apiError {
+func (a response) errorBody(t *testing.T) apiError {
 	t.Helper()
 	var e apiError
 	if err := json.Unmarshal([]byte(a.body), &e); err != nil {
-		t.Fatalf("not an error: %d %s", a.status, a.body)
+		t.Fatalf("not an error response: %d %s", a.status, a.body)
 	}
 	return e
 }
 
-// send makes one request; headers are pairs.
-func send(method, url, key, body string, headers ...string) answer {
+// send sends one request; headers are pairs of name and value.
+func send(method, url, key, body string, headers ...string) response {
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	req.Header.Set("Authorization", "Bearer "+key)
 	for i := 0; i+1 < len(headers); i += 2 {
@@ -63,11 +63,11 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
-	return answer{status: resp.StatusCode, header: resp.Header, body: string(text), err: err}
+	return response{status: resp.StatusCode, header: resp.Header, body: string(text), err: err}
 }
 
 func chatBody(prompt string, tokens int, stream bool) string {
@@ -78,12 +78,12 @@
 	return string(text)
 }
 
-func want(prompt string, tokens int) string {
+func expectedText(prompt string, tokens int) string {
 	return strings.Join(engine.Answer(prompt+"\n", tokens), "")
 }
 
-// streamText joins the text of a streamed answer; complete is false without
-// its end.
+// streamText returns the text of a streamed response; complete is false if the end is
+// missing.
 func streamText(body string) (text string, complete bool) {
 	for _, line := range strings.Split(body, "\n") {
 		data, ok := strings.CutPrefix(line, "data: ")
@@ -103,7 +103,7 @@
 	return text, false
 }
 
-// TestOpenAIClient uses the official client, unmodified.
+// TestOpenAIClient uses the official client without changes.
 func TestOpenAIClient(t *testing.T) {
 	is := is.New(t)
 	s := newStack(t, "salish")
@@ -119,7 +119,7 @@
 	}
 	whole, err := client.Chat.Completions.New(ctx, params)
 	is.NoErr(err)
-	is.Equal(whole.Choices[0].Message.Content, want("May I counter this?", 40))
+	is.Equal(whole.Choices[0].Message.Content, expectedText("May I counter this?", 40))
 	is.Equal(whole.Choices[0].FinishReason, "stop")
 	is.Equal(whole.Usage.CompletionTokens, int64(40))
 
@@ -152,8 +152,9 @@
 	is.Equal(apiErr.Code, "class_not_served")
 }
 
-// TestBadInput checks that each fault is named and that nothing runs.
-func TestBadInput(t *testing.T) {
+// TestInvalidRequests checks that the error names each invalid part and that nothing
+// runs.
+func TestInvalidRequests(t *testing.T) {
 	s := newStack(t, "salish")
 	e := s.entry("entry-1", "a")
 	s.agent("agent-1", "a", "judge-model")
@@ -174,7 +175,7 @@
 		{"too many choices", `{"model":"judge","messages":[{}],"n":99}`, nil, 400, "invalid_request", "n"},
 		{"unknown model", `{"model":"oracle","messages":[{}]}`, nil, 404, "model_not_found", "model"},
 		{"unknown class", chatBody("x", 1, false), []string{"X-Gladegauge-Class", "vip"}, 400, "unknown_class", "X-Gladegauge-Class"},
-		{"made-up key", chatBody("x", 1, false), []string{"Idempotency-Key", "abc"}, 400, "invalid_idempotency_key", "Idempotency-Key"},
+		{"invalid idempotency key", chatBody("x", 1, false), []string{"Idempotency-Key", "abc"}, 400, "invalid_idempotency_key", "Idempotency-Key"},
 		{"10 MB body", chatBody(long, 1, false), nil, 413, "request_too_large", "body"},
 	}
 	for _, tt := range tests {
@@ -182,7 +183,7 @@
 			is := is.New(t)
 			a := send("POST", e.url("listen")+"/v1/chat/completions", salishKey, tt.body, tt.headers...)
 			is.Equal(a.status, tt.status)
-			p := a.problem(t)
+			p := a.errorBody(t)
 			is.Equal(p.Error.Code, tt.code)
 			is.Equal(*p.Error.Param, tt.param)
 			is.True(p.Error.NotRun)
@@ -197,8 +198,8 @@
 	is.New(t).Equal(started, 0)
 }
 
-// TestManyStreams checks every byte of 200 streams at a time, and that nothing
-// is left behind.
+// TestManyStreams checks every byte of 200 concurrent streams, and that no goroutines or
+// requests are left.
 func TestManyStreams(t *testing.T) {
 	is := is.New(t)
 	s := newStack(t, "salish")
@@ -217,7 +218,7 @@
 			prompt := fmt.Sprintf("question %d", i)
 			got := send("POST", e.url("listen")+"/v1/chat/completions", salishKey, chatBody(prompt, 100, true))
 			text, complete := streamText(got.body)
-			if got.err != nil || !complete || text != want(prompt, 100) {
+			if got.err != nil || !complete || text != expectedText(prompt, 100) {
 				return fmt.Errorf("stream %d: status %d, complete %v: %w", i, got.status, complete, got.err)
 			}
 			return nil
@@ -225,15 +226,16 @@
 	}
 	is.NoErr(group.Wait())
 	http.DefaultClient.CloseIdleConnections()
-	eventually(t, "entry's goroutines end", func() bool { return metric(e, "go_goroutines") <= before+8 })
-	eventually(t, "agent's work ends", func() bool { return metric(a, "gladegauge_running") == 0 })
+	eventually(t, "the entry's goroutines end", func() bool { return metric(e, "go_goroutines") <= before+8 })
+	eventually(t, "the agent's requests end", func() bool { return metric(a, "gladegauge_running") == 0 })
 }
 
-// TestCallerLeaves checks that work is cancelled upstream.
-func TestCallerLeaves(t *testing.T) {
+// TestCallerDisconnects checks that the request is cancelled upstream when its caller
+// disconnects.
+func TestCallerDisconnects(t *testing.T) {
 	is := is.New(t)
 	s := newStack(t, "salish")
-	s.fast = 20 * time.Millisecond
+	s.responseDelay = 20 * time.Millisecond
 	e := s.entry("entry-1", "a")
 	s.agent("agent-1", "a", "judge-model")
 	s.ready()
--- a/internal/e2e/stack_test.go
+++ b/internal/e2e/stack_test.go
@@ -1,6 +1,6 @@
-// Package e2e proves promises through the real binaries, as separate processes
-// on loopback. The platform and the upstreams are stand-ins in the test's own
-// process, so that a test can make them fail.
+// Package e2e contains end-to-end tests of the real binaries, as separate processes on
+// loopback. The platform and the upstreams are test doubles in the test's own process, so
+// that a test can inject faults into them.
 package e2e
 
 import (
@@ -31,8 +31,8 @@
 	"github.com/gladegauge/gladegauge/internal/standin/service"
 )
 
-// patience bounds every wait for a condition.
-const patience = 20 * time.Second
+// waitTimeout bounds every wait for a condition.
+const waitTimeout = 20 * time.Second
 
 var binaries string
 
@@ -53,31 +53,31 @@
 	os.Exit(code)
 }
 
-// proc is one process of the system.
+// proc is one process of the deployment.
 type proc struct {
-	t       testing.TB
-	id      string
-	host    *gladegaugev1.Host
-	cmd     *exec.Cmd
-	logs    errgroup.Group
-	exited  chan struct{}
-	mu      sync.Mutex
-	address map[string]string
-	text    []string
+	t        testing.TB
+	id       string
+	host     *gladegaugev1.Host
+	cmd      *exec.Cmd
+	logs     errgroup.Group
+	exited   chan struct{}
+	mu       sync.Mutex
+	address  map[string]string
+	logLines []string
 }
 
-func (p *proc) at(listener string) string {
+func (p *proc) addressOf(listener string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.address[listener]
 }
 
-func (p *proc) url(listener string) string { return "http://" + p.at(listener) }
+func (p *proc) url(listener string) string { return "http://" + p.addressOf(listener) }
 
 func (p *proc) output() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return strings.Join(p.text, "\n")
+	return strings.Join(p.logLines, "\n")
 }
 
 func (p *proc) signal(s os.Signal) { _ = p.cmd.Process.Signal(s) }
@@ -87,11 +87,11 @@
 	<-p.exited
 }
 
-// exit waits for the end of the process and returns its code.
+// exit waits until the process exits and returns its exit code.
 func (p *proc) exit() int {
 	select {
 	case <-p.exited:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		p.t.Fatalf("%s did not exit:\n%s", p.id, p.output())
 	}
 	return p.cmd.ProcessState.ExitCode()
@@ -99,15 +99,15 @@
 
 // stack is a small deployment.
 type stack struct {
-	t        testing.TB
-	platform *published.Service
-	url      string
-	doc      *gladegaugev1.Configuration
-	engines  map[string]*engine.Engine
-	services map[string]*service.Service
-	procs    []*proc
-	fast     time.Duration
-	version  uint64
+	t             testing.TB
+	platform      *published.Service
+	url           string
+	doc           *gladegaugev1.Configuration
+	engines       map[string]*engine.Engine
+	services      map[string]*service.Service
+	procs         []*proc
+	responseDelay time.Duration
+	version       uint64
 }
 
 func newStack(t testing.TB, deployment string) *stack {
@@ -119,7 +119,7 @@
 	s := &stack{
 		t: t, platform: published.New(), doc: source.Configuration,
 		engines: make(map[string]*engine.Engine), services: make(map[string]*service.Service),
-		fast: 2 * time.Millisecond,
+		responseDelay: 2 * time.Millisecond,
 	}
 	server := httptest.NewServer(s.platform)
 	t.Cleanup(server.Close)
@@ -129,7 +129,7 @@
 	return s
 }
 
-// publishConfig publishes the document as it is.
+// publishConfig publishes the configuration document in its present state.
 func (s *stack) publishConfig() {
 	doc := config.Split(s.doc, s.doc.GetRevision()-1)
 	for _, ref := range doc.Manifest.GetShards() {
@@ -143,7 +143,7 @@
 	s.platform.Put(platform.ManifestName, manifest)
 }
 
-// publishHosts publishes the live processes.
+// publishHosts publishes the host lists with the running processes.
 func (s *stack) publishHosts() {
 	s.version++
 	for _, zone := range []string{"a", "b"} {
@@ -182,7 +182,7 @@
 	p.logs.Go(func() error {
 		lines := bufio.NewScanner(stderr)
 		for lines.Scan() {
-			p.take(lines.Text())
+			p.parseLine(lines.Text())
 		}
 		_ = p.cmd.Wait()
 		close(p.exited)
@@ -196,15 +196,15 @@
 		}
 	})
 	s.procs = append(s.procs, p)
-	eventually(s.t, p.id+" listens", func() bool { return p.at("rpc-listen") != "" && p.at("ops-listen") != "" })
-	host.Address = p.at("rpc-listen")
+	eventually(s.t, p.id+" listens", func() bool { return p.addressOf("rpc-listen") != "" && p.addressOf("ops-listen") != "" })
+	host.Address = p.addressOf("rpc-listen")
 	return p
 }
 
-func (p *proc) take(line string) {
+func (p *proc) parseLine(line string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.text = append(p.text, line)
+	p.logLines = append(p.logLines, line)
 	var fields struct{ Listener, Address string }
 	if json.Unmarshal([]byte(line), &fields) == nil && fields.Listener != "" {
 		p.address[fields.Listener] = fields.Address
@@ -223,16 +223,16 @@
 	s.t.Helper()
 	var h http.Handler
 	if strings.Contains(pool, "model") {
-		s.engines[id] = engine.New(engine.Options{Slots: 256, PerToken: s.fast, PerPrompt: s.fast, CheckFences: true})
+		s.engines[id] = engine.New(engine.Options{Slots: 256, PerToken: s.responseDelay, PerPrompt: s.responseDelay, CheckFences: true})
 		h = s.engines[id]
 	} else {
-		s.services[id] = service.New(s.fast)
+		s.services[id] = service.New(s.responseDelay)
 		h = s.services[id]
 	}
 	return s.agentAt(id, zone, pool, newServer(s.t, h), args...)
 }
 
-// newServer serves a stand-in until the test ends.
+// newServer serves a test double until the test ends.
 func newServer(t testing.TB, h http.Handler) string {
 	t.Helper()
 	server := httptest.NewServer(h)
@@ -250,8 +250,8 @@
 	return s.start("gladegauge-agent", host, args...)
 }
 
-// ready publishes the hosts and waits until all processes are ready and the
-// entries know the agents.
+// ready publishes the host lists and waits until all processes are ready and the entries
+// know the agents.
 func (s *stack) ready() {
 	s.t.Helper()
 	s.publishHosts()
@@ -263,11 +263,11 @@
 	}
 }
 
-// newPair is an entry and two agents of a pool, ready to serve.
-func newPair(t *testing.T, pool string, fast time.Duration) (*stack, *proc, map[string]*proc) {
+// newPair starts an entry and two agents of a pool and waits until they are ready.
+func newPair(t *testing.T, pool string, responseDelay time.Duration) (*stack, *proc, map[string]*proc) {
 	t.Helper()
 	s := newStack(t, "salish")
-	s.fast = fast
+	s.responseDelay = responseDelay
 	e := s.entry("entry-1", "a")
 	agents := map[string]*proc{
 		"agent-1": s.agent("agent-1", "a", pool),
@@ -277,17 +277,17 @@
 	return s, e, agents
 }
 
-// streams reports whether the agent's engine is in the middle of an answer.
-func (s *stack) streams(a *proc) bool {
-	const enough = 20
+// isStreaming reports whether the agent's engine is in the middle of a response.
+func (s *stack) isStreaming(a *proc) bool {
+	const minTokens = 20
 	running, _, _ := s.engines[a.id].Counts()
-	return running > 0 && metric(a, "gladegauge_tokens_total") > enough
+	return running > 0 && metric(a, "gladegauge_tokens_total") > minTokens
 }
 
-// disturb makes a request and, once it runs at one of two agents, does
-// something to that one.
-func (s *stack) disturb(request func() answer, runs func(id string) bool, act func(id string)) answer {
-	result := make(chan answer, 1)
+// actDuring sends a request and, once it runs at one of the two agents, calls act for
+// that agent.
+func (s *stack) actDuring(request func() response, runs func(id string) bool, act func(id string)) response {
+	result := make(chan response, 1)
 	var group errgroup.Group
 	group.Go(func() error {
 		result <- request()
@@ -315,7 +315,8 @@
 	return resp.StatusCode
 }
 
-// metric returns the sum of a metric over its labels.
+// metric returns the sum of a metric over its labels, or -1 if the metrics are not
+// available.
 func metric(p *proc, name string) float64 {
 	resp, err := http.Get(p.url("ops-listen") + "/metrics")
 	if err != nil {
@@ -340,14 +341,14 @@
 // eventually polls until the condition holds.
 func eventually(t testing.TB, what string, holds func() bool) {
 	t.Helper()
-	deadline := time.After(patience)
+	deadline := time.After(waitTimeout)
 	poll := time.NewTicker(5 * time.Millisecond)
 	defer poll.Stop()
 	for !holds() {
 		select {
 		case <-poll.C:
 		case <-deadline:
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("condition not met in time: %s", what)
 		}
 	}
 }
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -22,13 +22,13 @@
 	limitWindow    = 4 * time.Second
 	limitTolerance = 1.5
 	limitSlack     = 5
-	// A limit must hold limitSettleTime after a replica first announced it, for requests
-	// through gateways that were informed at least limitNoticeTime before.
+	// A limit is enforced from limitSettleTime after it began, for requests through
+	// gateways that were informed at least limitNoticeTime before.
 	limitSettleTime = 3 * time.Second
 	limitNoticeTime = 500 * time.Millisecond
 	// maxLimitedReplicas is the maximum number of replicas that announce an arbitrary
-	// limit at the same time. While faults go on, the others may announce highLimit, so
-	// that gateways lend each other turns.
+	// limit at the same time. While there are faults, the others may announce highLimit,
+	// so that gateways lend each other turns.
 	maxLimitedReplicas = 2
 	highLimit          = 20.0
 )
--- a/internal/soak/notices.go
+++ b/internal/soak/notices.go
@@ -22,8 +22,8 @@
 	maxRequestsDuringRetryAfter = 2
 	// maxShedding bounds how long a replica rejects all requests.
 	maxShedding = 3 * time.Second
-	// maxListingDelay is the maximum time from the first response that announces the
-	// shutdown to the listing of the replica as draining.
+	// maxListingDelay is the maximum time from when a replica begins to announce its
+	// shutdown until it is listed as draining.
 	maxListingDelay = 3 * time.Second
 )
 
