--- a/internal/soak/crashes.go
+++ b/internal/soak/crashes.go
@@ -35,8 +35,8 @@
 
 // InjectCrashes repeatedly sends a request that crashes replicas, to random gateways,
 // until the context ends. Crashed replicas restart under the same identity. Sometimes
-// another writer overwrites a replica's store entry instead. The random numbers are its
-// own, so that the other faults of a seed stay the same.
+// another writer overwrites a replica's store entry instead. It has its own random number
+// generator, so that the other faults of a seed stay the same.
 func (h *Harness) InjectCrashes(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 79)) //nolint:gosec // Seeded on purpose.
 	for n := 0; loop.Pause(ctx, randomBelow(rng, maxCrashPause)); n++ {
--- a/internal/soak/evacuations.go
+++ b/internal/soak/evacuations.go
@@ -30,8 +30,8 @@
 }
 
 // Evacuate evacuates one availability zone at a time until the context ends, and then
-// ends the last evacuation. The random numbers are its own, so that the other faults of a
-// seed stay the same.
+// ends the last evacuation. It has its own random number generator, so that the other
+// faults of a seed stay the same.
 func (h *Harness) Evacuate(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 78)) //nolint:gosec // Seeded on purpose.
 	for ctx.Err() == nil {
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -50,8 +50,8 @@
 	Invalid bool
 }
 
-// Limits makes replicas announce rate limits until the context ends. The random numbers
-// are its own, so that the other faults of a seed stay the same.
+// Limits makes replicas announce rate limits until the context ends. It has its own
+// random number generator, so that the other faults of a seed stay the same.
 func (h *Harness) Limits(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 81)) //nolint:gosec // Seeded on purpose.
 	end, _ := ctx.Deadline()
--- a/internal/soak/notices.go
+++ b/internal/soak/notices.go
@@ -42,8 +42,8 @@
 var invalidRetryAfters = []string{"", "0", "-2", "soon", "Fri, 01 Jan 2100 00:00:00 GMT"}
 
 // InjectNotices makes replicas announce their shutdown or reject requests with a
-// Retry-After header, until the context ends. The random numbers are its own, so that the
-// other faults of a seed stay the same.
+// Retry-After header, until the context ends. It has its own random number generator, so
+// that the other faults of a seed stay the same.
 func (h *Harness) InjectNotices(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 80)) //nolint:gosec // Seeded on purpose.
 	for loop.Pause(ctx, randomBelow(rng, maxNoticePause)) {
--- a/internal/soak/restores.go
+++ b/internal/soak/restores.go
@@ -25,8 +25,8 @@
 	entryExpiry      = 2 * time.Second
 )
 
-// InjectRestores repeatedly restores the store from a backup, until the context ends. The
-// random numbers are its own, so that the other faults of a seed stay the same.
+// InjectRestores repeatedly restores the store from a backup, until the context ends. It
+// has its own random number generator, so that the other faults of a seed stay the same.
 func (h *Harness) InjectRestores(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 82)) //nolint:gosec // Seeded on purpose.
 	for loop.Pause(ctx, randomBelow(rng, maxBackupPause)) {
