--- a/internal/session/agenthost.go
+++ b/internal/session/agenthost.go
@@ -10,27 +10,27 @@
 	"github.com/gladegauge/gladegauge/internal/core/dispatch"
 )
 
-// agentHost is an agent with its upstream.
+// agentHost is an agent process with its upstream.
 type agentHost struct {
 	process
-	s       *Session
-	id      string
-	pool    string
-	zone    string
-	life    int
-	dead    bool
-	engine  *engine
-	core    *agent.Agent
-	streams map[string]*stream
-	claimed map[string]*stream
-}
-
-// boot starts a new incarnation.
+	s           *Session
+	id          string
+	pool        string
+	zone        string
+	incarnation int
+	dead        bool
+	engine      *engine
+	core        *agent.Agent
+	streams     map[string]*stream
+	claimed     map[string]*stream
+}
+
+// boot starts the process with a new incarnation.
 func (h *agentHost) boot() {
-	h.life++
+	h.incarnation++
 	h.dead = false
 	o := h.s.policy.Agent
-	o.Incarnation = fmt.Sprintf("%s-%d", h.id, h.life)
+	o.Incarnation = fmt.Sprintf("%s-%d", h.id, h.incarnation)
 	p, _ := h.s.site.Config.Pool(h.pool)
 	o.Slots = p.Slots
 	if p.Kind == config.KindService {
@@ -40,26 +40,27 @@
 	h.core = agent.New(o, h.s.site.Config)
 	h.streams = make(map[string]*stream)
 	h.claimed = make(map[string]*stream)
-	life := h.life
-	h.s.world.every(agentTick, func() bool {
-		if h.life == life && !h.dead && !h.paused {
-			h.apply(h.core.Tick(h.s.world.now))
-			h.apply(h.core.SetDown(h.s.world.now, h.engine.down))
+	incarnation := h.incarnation
+	h.s.clock.every(agentTickInterval, func() bool {
+		if h.incarnation == incarnation && !h.dead && !h.paused {
+			h.execute(h.core.Tick(h.s.clock.now))
+			h.execute(h.core.SetDown(h.s.clock.now, h.engine.down))
 		}
-		return h.life == life && !h.dead
+		return h.incarnation == incarnation && !h.dead
 	})
-	h.s.world.every(heartbeatEvery, func() bool {
-		if h.life == life && !h.dead && !h.paused {
+	h.s.clock.every(heartbeatInterval, func() bool {
+		if h.incarnation == incarnation && !h.dead && !h.paused {
 			h.heartbeat()
 		}
-		return h.life == life && !h.dead
+		return h.incarnation == incarnation && !h.dead
 	})
 }
 
-// heartbeatEvery is the time between signs of life of claimed attempts.
-const heartbeatEvery = time.Second
+// heartbeatInterval is the time between two heartbeats of a claimed attempt.
+const heartbeatInterval = time.Second
 
-// heartbeat tells the entries of claimed attempts that they are not lost.
+// heartbeat sends an empty chunk for each claimed attempt, which tells its entry that the
+// attempt is not lost.
 func (h *agentHost) heartbeat() {
 	for _, id := range sortedKeys(h.claimed) {
 		x := h.claimed[id]
@@ -71,7 +72,7 @@
 	}
 }
 
-// kill ends the process; its entries notice soon.
+// kill terminates the process. Its entries notice after the network delay.
 func (h *agentHost) kill() {
 	h.dead = true
 	for _, r := range slices.Clone(h.engine.runs) {
@@ -79,45 +80,45 @@
 	}
 	for _, id := range sortedKeys(h.streams) {
 		x := h.streams[id]
-		h.s.world.after(h.s.delay(x.entry.zone, h.zone), func() { x.entry.deliver(func() { x.entry.broken(x) }) })
+		h.s.clock.after(h.s.delay(x.entry.zone, h.zone), func() { x.entry.deliver(func() { x.entry.disconnected(x) }) })
 	}
 }
 
 func (h *agentHost) offer(x *stream, o agent.Offer) {
-	if h.dead || x.life != h.life {
-		x.send(&x.entry.process, func() { x.entry.broken(x) })
+	if h.dead || x.incarnation != h.incarnation {
+		x.send(&x.entry.process, func() { x.entry.disconnected(x) })
 		return
 	}
 	if _, known := h.streams[x.id]; known {
 		return
 	}
 	h.streams[x.id] = x
-	effects := h.core.Offer(h.s.world.now, o)
+	effects := h.core.Offer(h.s.clock.now, o)
 	load := h.core.Load()
-	h.s.note(record{Kind: accepted, Request: x.call.req.id, Attempt: x.id, Agent: h.id, Class: x.call.req.class.Name})
-	x.send(&x.entry.process, func() { x.entry.heard(x, load) })
-	h.apply(effects)
+	h.s.addRecord(record{Kind: accepted, Request: x.call.req.id, Attempt: x.id, Agent: h.id, Class: x.call.req.class.Name})
+	x.send(&x.entry.process, func() { x.entry.recordLoad(x, load) })
+	h.execute(effects)
 }
 
 func (h *agentHost) claim(x *stream, c dispatch.Claim) {
-	if h.dead || x.life != h.life {
+	if h.dead || x.incarnation != h.incarnation {
 		return
 	}
 	x.call.offset = c.Offset
 	h.claimed[x.id] = x
-	h.apply(h.core.Claim(h.s.world.now, x.id, c.Incarnation))
+	h.execute(h.core.Claim(h.s.clock.now, x.id, c.Incarnation))
 }
 
 func (h *agentHost) withdraw(x *stream) {
-	if h.dead || x.life != h.life {
+	if h.dead || x.incarnation != h.incarnation {
 		return
 	}
-	h.apply(h.core.Withdraw(h.s.world.now, x.id))
+	h.execute(h.core.Withdraw(h.s.clock.now, x.id))
 }
 
 func (h *agentHost) progress(id string, produced int) {
 	h.deliver(func() {
-		h.core.Progress(h.s.world.now, id, produced)
+		h.core.Progress(h.s.clock.now, id, produced)
 		if x, ok := h.streams[id]; ok {
 			x.send(&x.entry.process, func() { x.entry.chunk(x, produced) })
 		}
@@ -125,12 +126,12 @@
 }
 
 func (h *agentHost) ended(id string, produced int) {
-	life := h.life
+	incarnation := h.incarnation
 	h.deliver(func() {
-		if h.dead || h.life != life {
+		if h.dead || h.incarnation != incarnation {
 			return
 		}
-		effects := h.core.Ended(h.s.world.now, id, agent.Completed, produced)
+		effects := h.core.Ended(h.s.clock.now, id, agent.Completed, produced)
 		x, ok := h.streams[id]
 		if !ok {
 			return
@@ -140,36 +141,36 @@
 			x.entry.chunk(x, produced)
 			x.entry.ended(x, load)
 		})
-		h.apply(effects)
+		h.execute(effects)
 	})
 }
 
-func (h *agentHost) broke(id string, produced int) {
+func (h *agentHost) interrupted(id string, produced int) {
 	h.deliver(func() {
-		effects := h.core.Ended(h.s.world.now, id, agent.Interrupted, produced)
+		effects := h.core.Ended(h.s.clock.now, id, agent.Interrupted, produced)
 		x, ok := h.streams[id]
 		if !ok {
 			return
 		}
-		x.send(&x.entry.process, func() { x.entry.broken(x) })
-		h.apply(effects)
+		x.send(&x.entry.process, func() { x.entry.disconnected(x) })
+		h.execute(effects)
 	})
 }
 
-// apply carries out the agent's effects.
-func (h *agentHost) apply(effects []agent.Effect) {
+// execute executes the agent's effects.
+func (h *agentHost) execute(effects []agent.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case agent.Grant:
 			x := h.streams[e.ID]
-			h.s.note(record{Kind: granted, Request: x.call.req.id, Attempt: e.ID, Agent: h.id})
+			h.s.addRecord(record{Kind: granted, Request: x.call.req.id, Attempt: e.ID, Agent: h.id})
 			x.send(&x.entry.process, func() { x.entry.granted(x, e.Incarnation) })
 		case agent.Refuse:
 			h.refuse(e)
 		case agent.Start:
 			x := h.streams[e.ID]
 			if h.engine.down {
-				h.s.world.after(0, func() { h.broke(e.ID, e.Produced) })
+				h.s.clock.after(0, func() { h.interrupted(e.ID, e.Produced) })
 				continue
 			}
 			h.engine.start(e.ID, x.call.req, max(e.Produced, x.call.offset))
@@ -189,17 +190,18 @@
 	}
 	class := x.call.req.class
 	load := h.core.Load()
-	h.s.note(record{
+	h.s.addRecord(record{
 		Kind: refused, Request: x.call.req.id, Attempt: e.ID, Agent: h.id, Class: class.Name,
-		Detail: e.Reason.String(), Lower: h.stoppable(class.Tier),
+		Detail: e.Reason.String(), PreemptibleRuns: h.preemptibleRuns(class.Tier),
 	})
 	refusal := dispatch.Refusal{Reason: e.Reason, RetryAfter: e.RetryAfter, Incarnation: h.core.Incarnation()}
 	x.send(&x.entry.process, func() { x.entry.refused(x, refusal, load) })
 }
 
-// stoppable counts the runs of lower tiers that repeat freely; it looks at the
-// engine, not at the agent's own books.
-func (h *agentHost) stoppable(tier int) int {
+// preemptibleRuns counts the runs of lower tiers that may be preempted. It inspects the
+// engine and not the agent's state, so that the check does not depend on the code that it
+// checks.
+func (h *agentHost) preemptibleRuns(tier int) int {
 	n := 0
 	for _, r := range h.engine.runs {
 		if r.req.class.Tier > tier && r.req.class.Repeatable && !r.req.class.Protected {
@@ -213,13 +215,13 @@
 	x := h.streams[e.ID]
 	produced := h.engine.stop(e.ID)
 	if e.Preempted {
-		h.s.note(record{Kind: preempted, Request: x.call.req.id, Attempt: e.ID, Agent: h.id, Class: x.call.req.class.Name})
+		h.s.addRecord(record{Kind: preempted, Request: x.call.req.id, Attempt: e.ID, Agent: h.id, Class: x.call.req.class.Name})
 	}
-	life := h.life
-	h.s.world.after(5*time.Millisecond, func() {
+	incarnation := h.incarnation
+	h.s.clock.after(5*time.Millisecond, func() {
 		h.deliver(func() {
-			if h.life == life && !h.dead {
-				h.apply(h.core.Stopped(h.s.world.now, e.ID, produced))
+			if h.incarnation == incarnation && !h.dead {
+				h.execute(h.core.Stopped(h.s.clock.now, e.ID, produced))
 			}
 		})
 	})
--- a/internal/session/bound.go
+++ b/internal/session/bound.go
@@ -8,61 +8,64 @@
 	"github.com/gladegauge/gladegauge/internal/core/config"
 )
 
-// boundStep is the length of one interval of the bound.
-const boundStep = time.Second
+// boundInterval is the time step of the bound's computation.
+const boundInterval = time.Second
 
-// batch is the work of one request.
-type batch struct {
+// job is the remaining work of one request.
+type job struct {
 	class string
-	// rate is tokens for each second of a slot.
-	rate   float64
-	slots  float64
-	expire time.Duration
+	// rate is the number of tokens per slot-second.
+	rate      float64
+	remaining float64
+	deadline  time.Duration
 }
 
-// left is the time that the rest of the request needs in one slot.
-func (b *batch) left() time.Duration { return time.Duration(b.slots * float64(time.Second)) }
+// remainingTime returns the time that the remaining work takes in one slot.
+func (j *job) remainingTime() time.Duration { return time.Duration(j.remaining * float64(time.Second)) }
 
-// bound returns the most tokens on time that any scheduler could have made, by
-// class and over all. Work flows like a fluid: each second the pool's working
-// slots serve what waits, the least slack first, each request in one slot at
-// most, and what cannot be on time any more is gone. It knows all lengths,
-// stops and resumes at no cost, needs the least time for every prompt and
-// counts parts of answers, all of which no real scheduler does. The figures by
-// class are how it happens to share the slots out, not a bound for each class.
-func (s *Session) bound() map[string]float64 {
-	best := map[string]float64{}
+// goodputBounds returns an upper bound of the tokens on time that any scheduler could have
+// produced, in total and by class.
+//
+// It is the result of a fluid model. In each interval the available slots of a pool serve
+// the waiting jobs in order of their slack, each job in at most one slot, and jobs that
+// can no longer be on time are dropped. The model knows the length of each response, stops
+// and resumes jobs at no cost, needs the minimum prefill time for each prompt and counts
+// partial responses, none of which a real scheduler does. Only the total is a bound: the
+// values by class result from how the model happens to divide the slots.
+func (s *Session) goodputBounds() map[string]float64 {
+	bounds := map[string]float64{}
 	for _, pool := range s.site.Config.Pools() {
-		s.boundPool(pool, best)
+		s.addPoolBounds(pool, bounds)
 	}
-	return best
+	return bounds
 }
 
-func (s *Session) boundPool(pool *config.Pool, best map[string]float64) {
-	steps := int(s.world.elapsed()/boundStep) + 1
-	arriving := s.batches(pool, steps)
-	var waiting []*batch
+func (s *Session) addPoolBounds(pool *config.Pool, bounds map[string]float64) {
+	steps := int(s.clock.elapsed()/boundInterval) + 1
+	arriving := s.jobsByArrival(pool, steps)
+	var waiting []*job
 	for i := range steps {
-		now := time.Duration(i) * boundStep
+		now := time.Duration(i) * boundInterval
 		waiting = append(waiting, arriving[i]...)
-		waiting = slices.DeleteFunc(waiting, func(b *batch) bool { return b.slots <= 0 || now+b.left() > b.expire })
-		slices.SortStableFunc(waiting, func(a, b *batch) int {
-			return cmp.Compare(a.expire-a.left(), b.expire-b.left())
+		waiting = slices.DeleteFunc(waiting, func(b *job) bool { return b.remaining <= 0 || now+b.remainingTime() > b.deadline })
+		slices.SortStableFunc(waiting, func(a, b *job) int {
+			return cmp.Compare(a.deadline-a.remainingTime(), b.deadline-b.remainingTime())
 		})
-		free := s.workingSlots(pool, now)
+		free := s.availableSlotSeconds(pool, now)
 		for _, b := range waiting {
-			used := min(free, b.slots, boundStep.Seconds())
+			used := min(free, b.remaining, boundInterval.Seconds())
 			free -= used
-			b.slots -= used
-			best[b.class] += used * b.rate
-			best[All] += used * b.rate
+			b.remaining -= used
+			bounds[b.class] += used * b.rate
+			bounds[All] += used * b.rate
 		}
 	}
 }
 
-// batches groups the requests of a pool by second of arrival.
-func (s *Session) batches(pool *config.Pool, steps int) [][]*batch {
-	out := make([][]*batch, steps)
+// jobsByArrival groups the requests of a pool by the interval of their arrival. Requests
+// that no scheduler could complete in time are left out.
+func (s *Session) jobsByArrival(pool *config.Pool, steps int) [][]*job {
+	out := make([][]*job, steps)
 	for _, r := range s.requests {
 		if r.pool.Name != pool.Name {
 			continue
@@ -71,36 +74,36 @@
 		if r.class.Completion > 0 && took > r.class.Completion {
 			continue
 		}
-		b := &batch{
-			class:  r.class.Name,
-			rate:   float64(r.tokens) / took.Seconds(),
-			slots:  took.Seconds(),
-			expire: r.arrived.Sub(start) + r.class.StartTarget() + boundStep,
+		j := &job{
+			class:     r.class.Name,
+			rate:      float64(r.tokens) / took.Seconds(),
+			remaining: took.Seconds(),
+			deadline:  r.arrived.Sub(start) + r.class.StartTarget() + boundInterval,
 		}
 		if r.class.FirstToken > 0 {
-			b.expire += took
+			j.deadline += took
 		}
-		i := int(r.arrived.Sub(start) / boundStep)
-		out[i] = append(out[i], b)
+		i := int(r.arrived.Sub(start) / boundInterval)
+		out[i] = append(out[i], j)
 	}
 	return out
 }
 
-// slotTime is the least time that the request holds a slot.
+// slotTime returns the minimum time for which the request occupies a slot.
 func (s *Session) slotTime(r *request) time.Duration {
 	if r.service {
 		return serviceTime
 	}
-	return cachedPromptTime + time.Duration(float64(r.tokens)/tokenRate*float64(time.Second))
+	return cachedPrefillTime + time.Duration(float64(r.tokens)/tokenRate*float64(time.Second))
 }
 
-// workingSlots is the pool's slot-seconds in the interval that begins at a
-// time, less what the script's faults take away.
-func (s *Session) workingSlots(pool *config.Pool, at time.Duration) float64 {
+// availableSlotSeconds returns the slot-seconds of the pool in the interval that begins at
+// the given time, minus the capacity that the script's faults remove.
+func (s *Session) availableSlotSeconds(pool *config.Pool, at time.Duration) float64 {
 	var sum float64
 	for _, a := range s.agents {
 		if a.pool == pool.Name {
-			sum += float64(pool.Slots) * s.speedAt(a.id, at) * boundStep.Seconds()
+			sum += float64(pool.Slots) * s.speedAt(a.id, at) * boundInterval.Seconds()
 		}
 	}
 	return sum
--- a/internal/session/check.go
+++ b/internal/session/check.go
@@ -6,46 +6,47 @@
 	"time"
 )
 
-// Bounds of the checks.
+// Limits of the checks.
 const (
-	// leavingBound is the time after which a leaving upstream starts nothing.
-	leavingBound = 3 * time.Second
-	// starvationBound is the longest that a class may wait without a start.
-	starvationBound = 60 * time.Second
+	// leavingGracePeriod is the time after which a leaving upstream starts no new requests.
+	leavingGracePeriod = 3 * time.Second
+	// starvationLimit is the maximum time between two starts of a class that has
+	// waiting requests.
+	starvationLimit = 60 * time.Second
 )
 
-// checker reads a transcript and collects broken promises. It shares nothing
-// with the code that decides.
+// checker reads a transcript and collects violations of the guarantees. It shares no code
+// with the core's decisions.
 type checker struct {
-	s          *Session
-	violations []string
-	starts     map[int]int
-	running    map[int]int
-	outcome    map[int]string
-	produced   map[int]int
-	leftAt     map[string]time.Duration
-	waiting    map[string]int
-	waits      map[int]bool
-	lastStart  map[string]time.Duration
+	s              *Session
+	violations     []string
+	starts         map[int]int
+	running        map[int]int
+	outcome        map[int]string
+	produced       map[int]int
+	leavingSince   map[string]time.Duration
+	waitingByClass map[string]int
+	isWaiting      map[int]bool
+	lastStart      map[string]time.Duration
 }
 
-// Violations returns the promises that the session broke.
+// Violations returns the violations of the guarantees in the session.
 func (s *Session) Violations() []string {
 	c := &checker{
-		s:         s,
-		starts:    make(map[int]int),
-		running:   make(map[int]int),
-		outcome:   make(map[int]string),
-		produced:  make(map[int]int),
-		leftAt:    make(map[string]time.Duration),
-		waiting:   make(map[string]int),
-		waits:     make(map[int]bool),
-		lastStart: make(map[string]time.Duration),
+		s:              s,
+		starts:         make(map[int]int),
+		running:        make(map[int]int),
+		outcome:        make(map[int]string),
+		produced:       make(map[int]int),
+		leavingSince:   make(map[string]time.Duration),
+		waitingByClass: make(map[string]int),
+		isWaiting:      make(map[int]bool),
+		lastStart:      make(map[string]time.Duration),
 	}
 	for _, r := range s.records {
-		c.take(r)
+		c.check(r)
 	}
-	c.atEnd()
+	c.checkEnd()
 	return c.violations
 }
 
@@ -53,10 +54,10 @@
 	c.violations = append(c.violations, fmt.Sprintf("%s: %s", r, fmt.Sprintf(format, args...)))
 }
 
-func (c *checker) take(r record) {
+func (c *checker) check(r record) {
 	switch r.Kind {
 	case accepted:
-		c.wait(r)
+		c.addWaiting(r)
 	case refused:
 		c.refused(r)
 	case preempted:
@@ -69,39 +70,40 @@
 	case finished:
 		c.finished(r)
 	case leaving:
-		c.leftAt[r.Agent] = r.At
+		c.leavingSince[r.Agent] = r.At
 	default:
 	}
 }
 
-// wait notes that a request waits for its first start.
-func (c *checker) wait(r record) {
-	if c.waits[r.Request] || c.starts[r.Request] > 0 || c.outcome[r.Request] != "" {
+// addWaiting records that a request waits for its first start.
+func (c *checker) addWaiting(r record) {
+	if c.isWaiting[r.Request] || c.starts[r.Request] > 0 || c.outcome[r.Request] != "" {
 		return
 	}
-	c.waits[r.Request] = true
-	if c.waiting[r.Class] == 0 {
+	c.isWaiting[r.Request] = true
+	if c.waitingByClass[r.Class] == 0 {
 		c.lastStart[r.Class] = r.At
 	}
-	c.waiting[r.Class]++
+	c.waitingByClass[r.Class]++
 }
 
-func (c *checker) waitEnds(r record) {
-	if !c.waits[r.Request] {
+// removeWaiting ends the wait of a request and checks that its class did not starve.
+func (c *checker) removeWaiting(r record) {
+	if !c.isWaiting[r.Request] {
 		return
 	}
-	c.waits[r.Request] = false
-	if gap := r.At - c.lastStart[r.Class]; gap > starvationBound {
+	c.isWaiting[r.Request] = false
+	if gap := r.At - c.lastStart[r.Class]; gap > starvationLimit {
 		c.fail(r, "class starved for %s", gap)
 	}
-	c.waiting[r.Class]--
+	c.waitingByClass[r.Class]--
 }
 
-// started checks that a request runs as often as it may, and not on an
-// upstream that leaves.
+// started checks that a non-repeatable request runs at most once, that a request does not
+// run after it was answered as not run, and that a leaving upstream starts no new requests.
 func (c *checker) started(r record) {
 	class, _ := c.s.site.Config.Class(r.Class)
-	c.waitEnds(r)
+	c.removeWaiting(r)
 	c.lastStart[r.Class] = r.At
 	c.starts[r.Request]++
 	c.running[r.Request]++
@@ -111,25 +113,25 @@
 	if c.outcome[r.Request] == "not_run" {
 		c.fail(r, "started after it was answered as not run")
 	}
-	if at, ok := c.leftAt[r.Agent]; ok && r.At-at > leavingBound && r.Tokens == 0 {
+	if at, ok := c.leavingSince[r.Agent]; ok && r.At-at > leavingGracePeriod && r.Tokens == 0 {
 		c.fail(r, "started %s after its upstream began to leave", r.At-at)
 	}
 }
 
-// refused checks that no protected request is refused for load while a run of
-// a lower tier could have been stopped for it.
+// refused checks that no protected request is shed while a run of a lower tier could have
+// been preempted for it.
 func (c *checker) refused(r record) {
 	class, _ := c.s.site.Config.Class(r.Class)
-	if class.Protected && r.Detail == "overload" && r.Lower > c.slack(r) {
-		c.fail(r, "a protected request was shed while %d runs of lower tiers went on", r.Lower)
+	if class.Protected && r.Detail == "overload" && r.PreemptibleRuns > c.maxFloorRuns(r) {
+		c.fail(r, "a protected request was shed while %d runs of lower tiers went on", r.PreemptibleRuns)
 	}
 }
 
-// slack is the number of slots that runs on floor shares may hold.
-func (c *checker) slack(r record) int {
-	const floorSlots = 10
+// maxFloorRuns returns the number of slots that runs on floor shares may occupy.
+func (c *checker) maxFloorRuns(r record) int {
+	const slotsPerFloorRun = 10
 	pool, _ := c.s.site.Config.Pool(c.s.agent(r.Agent).pool)
-	return max(1, pool.Slots/floorSlots)
+	return max(1, pool.Slots/slotsPerFloorRun)
 }
 
 func (c *checker) preempted(r record) {
@@ -142,9 +144,10 @@
 	}
 }
 
-// finished checks that "not run" is true and that a complete answer is whole.
+// finished checks that a request is answered once, that one that is answered as not run was
+// never started, and that the response of a completed request has all its tokens.
 func (c *checker) finished(r record) {
-	c.waitEnds(r)
+	c.removeWaiting(r)
 	if c.outcome[r.Request] != "" {
 		c.fail(r, "answered twice")
 	}
@@ -163,8 +166,8 @@
 	}
 }
 
-// atEnd checks that every request was answered and nothing runs on.
-func (c *checker) atEnd() {
+// checkEnd checks that every request was answered and that none still runs after its answer.
+func (c *checker) checkEnd() {
 	for _, req := range c.s.requests {
 		if c.outcome[req.id] == "" {
 			c.violations = append(c.violations, fmt.Sprintf("request %d (%s) was never answered", req.id, req.class.Name))
--- a/internal/session/doc.go
+++ b/internal/session/doc.go
@@ -1,10 +1,12 @@
-// Package session runs the real core in virtual time against small fakes.
+// Package session runs the real entries and agents of the core as a discrete event
+// simulation in virtual time.
 //
-// A script names a deployment, its load and its faults. The session carries
-// the messages between entries and agents with the deployment's delays, plays
-// the engines, and writes a transcript. The summary and the checks of the
-// promises are computed from the transcript alone. It proves and measures; it
-// is no simulator of a cluster.
+// A script names a deployment, its load and its faults. The session delivers the
+// messages between entries and agents with the network delays of the deployment,
+// substitutes fake engines for the upstreams, and writes a transcript. The metrics and
+// the checks of the guarantees are computed from the transcript alone. The package
+// verifies and measures the core; it does not model the machines or the network of a
+// cluster beyond delays and faults.
 //
 // # Usage
 //
--- a/internal/session/engine.go
+++ b/internal/session/engine.go
@@ -5,76 +5,79 @@
 	"time"
 )
 
-// Rates of the fake engines.
+// Speeds and sizes of the fake engines.
 const (
 	engineStep = 20 * time.Millisecond
-	// tokenRate is tokens a second of one run.
+	// tokenRate is the tokens per second of one run.
 	tokenRate = 40.0
-	// promptTime is the time of a prompt whose prefix is not cached.
-	promptTime = 120 * time.Millisecond
-	// cachedPromptTime is the time of one whose prefix is.
-	cachedPromptTime = 40 * time.Millisecond
-	// resumeTime is the time to take up an answer again.
+	// prefillTime is the prefill time of a prompt whose prefix is not cached.
+	prefillTime = 120 * time.Millisecond
+	// cachedPrefillTime is the prefill time of a prompt whose prefix is cached.
+	cachedPrefillTime = 40 * time.Millisecond
+	// resumeTime is the prefill time of a resumed response.
 	resumeTime = 60 * time.Millisecond
-	// serviceTime is the time of one call of a plain service.
+	// serviceTime is the duration of a call to a plain service.
 	serviceTime = 600 * time.Millisecond
-	// reportEvery is the time between two pieces of an answer.
-	reportEvery    = 200 * time.Millisecond
-	cachedPrefixes = 6
+	// chunkInterval is the minimum time between two chunks of a response.
+	chunkInterval   = 200 * time.Millisecond
+	prefixCacheSize = 6
 )
 
-// engineRun is one request that an engine works on.
+// engineRun is a request that runs on an engine.
 type engineRun struct {
-	id       string
-	req      *request
-	prompt   time.Duration
+	id  string
+	req *request
+	// prefill is the remaining time before the run produces tokens.
+	prefill  time.Duration
 	produced float64
-	from     int
-	sent     int
-	sentAt   time.Time
+	// offset is the number of tokens at which the response is resumed.
+	offset int
+	sent   int
+	sentAt time.Time
 }
 
-// engine is a fake upstream.
+// engine is a fake upstream. Its runs do not slow each other down.
 type engine struct {
-	s     *Session
-	host  *agentHost
-	speed float64
-	down  bool
-	runs  []*engineRun
-	cache []int
+	s           *Session
+	host        *agentHost
+	speed       float64
+	down        bool
+	runs        []*engineRun
+	prefixCache []int
 }
 
-func (e *engine) start(id string, req *request, from int) {
-	r := &engineRun{id: id, req: req, from: from, produced: float64(from), sent: from}
+func (e *engine) start(id string, req *request, offset int) {
+	r := &engineRun{id: id, req: req, offset: offset, produced: float64(offset), sent: offset}
 	switch {
 	case req.service:
-		r.prompt = serviceTime
-	case from > 0:
-		r.prompt = resumeTime
+		r.prefill = serviceTime
+	case offset > 0:
+		r.prefill = resumeTime
 	default:
-		r.prompt = e.promptTime(req.prefix)
+		r.prefill = e.prefillTime(req.prefix)
 	}
 	e.runs = append(e.runs, r)
-	e.s.note(record{Kind: engineStarted, Request: req.id, Attempt: id, Agent: e.host.id, Class: req.class.Name, Tokens: from})
+	e.s.addRecord(record{Kind: engineStarted, Request: req.id, Attempt: id, Agent: e.host.id, Class: req.class.Name, Tokens: offset})
 }
 
-// promptTime is shorter for a cached prefix; the cache holds a few.
-func (e *engine) promptTime(prefix int) time.Duration {
-	at := slices.Index(e.cache, prefix)
+// prefillTime returns the prefill time of a prompt and updates the prefix cache, which
+// evicts the least recently used prefix.
+func (e *engine) prefillTime(prefix int) time.Duration {
+	at := slices.Index(e.prefixCache, prefix)
 	if at >= 0 {
-		e.cache = slices.Delete(e.cache, at, at+1)
+		e.prefixCache = slices.Delete(e.prefixCache, at, at+1)
 	}
-	e.cache = append(e.cache, prefix)
-	if len(e.cache) > cachedPrefixes {
-		e.cache = e.cache[1:]
+	e.prefixCache = append(e.prefixCache, prefix)
+	if len(e.prefixCache) > prefixCacheSize {
+		e.prefixCache = e.prefixCache[1:]
 	}
 	if at >= 0 {
-		return cachedPromptTime
+		return cachedPrefillTime
 	}
-	return promptTime
+	return prefillTime
 }
 
-// stop ends a run and returns the tokens made.
+// stop ends a run and returns the number of tokens produced.
 func (e *engine) stop(id string) int {
 	for i, r := range e.runs {
 		if r.id == id {
@@ -86,12 +89,12 @@
 	return 0
 }
 
-// finish notes the work of a run that ended.
+// finish records the end of a run and the tokens that it produced.
 func (e *engine) finish(r *engineRun, k kind) {
-	e.s.note(record{Kind: k, Request: r.req.id, Attempt: r.id, Agent: e.host.id, Class: r.req.class.Name, Tokens: int(r.produced) - r.from})
+	e.s.addRecord(record{Kind: k, Request: r.req.id, Attempt: r.id, Agent: e.host.id, Class: r.req.class.Name, Tokens: int(r.produced) - r.offset})
 }
 
-// step lets the engine work for one step.
+// step advances all runs by engineStep.
 func (e *engine) step() {
 	if e.down {
 		return
@@ -109,15 +112,15 @@
 	}
 }
 
-// advance moves one run on and reports whether it is complete.
+// advance advances one run by engineStep and reports whether it is complete.
 func (e *engine) advance(r *engineRun) bool {
 	work := time.Duration(float64(engineStep) * e.speed)
-	if r.prompt > 0 {
-		used := min(r.prompt, work)
-		r.prompt -= used
+	if r.prefill > 0 {
+		used := min(r.prefill, work)
+		r.prefill -= used
 		work -= used
 	}
-	if r.prompt > 0 {
+	if r.prefill > 0 {
 		return false
 	}
 	if r.req.service {
@@ -125,8 +128,8 @@
 		return true
 	}
 	r.produced = min(r.produced+work.Seconds()*tokenRate, float64(r.req.tokens))
-	now := e.s.world.now
-	if int(r.produced) > r.sent && (r.sent == r.from || now.Sub(r.sentAt) >= reportEvery) {
+	now := e.s.clock.now
+	if int(r.produced) > r.sent && (r.sent == r.offset || now.Sub(r.sentAt) >= chunkInterval) {
 		r.sent = int(r.produced)
 		r.sentAt = now
 		e.host.progress(r.id, r.sent)
@@ -134,14 +137,14 @@
 	return int(r.produced) >= r.req.tokens
 }
 
-// crash ends all runs.
+// crash takes the engine down and interrupts all runs. The prefix cache is lost.
 func (e *engine) crash() {
 	e.down = true
 	runs := e.runs
 	e.runs = nil
-	e.cache = nil
+	e.prefixCache = nil
 	for _, r := range runs {
 		e.finish(r, engineStopped)
-		e.host.broke(r.id, int(r.produced))
+		e.host.interrupted(r.id, int(r.produced))
 	}
 }
--- a/internal/session/faults.go
+++ b/internal/session/faults.go
@@ -8,9 +8,9 @@
 	"github.com/gladegauge/gladegauge/internal/core/dispatch"
 )
 
-// begin makes something fail, and plans its end.
-func (s *Session) begin(f Fault) {
-	s.note(record{Kind: fault, Detail: string(f.Kind) + " " + strings.Join(f.Hosts, ",")})
+// injectFault starts a fault and schedules its end.
+func (s *Session) injectFault(f Fault) {
+	s.addRecord(record{Kind: fault, Detail: string(f.Kind) + " " + strings.Join(f.Hosts, ",")})
 	switch f.Kind {
 	case Slow:
 		s.eachAgent(f, func(a *agentHost) { a.engine.speed = f.Factor })
@@ -20,24 +20,24 @@
 		s.eachAgent(f, func(a *agentHost) { a.kill() })
 	case Pause:
 		s.eachProcess(f, func(p *process) { p.paused = true })
-		s.eachAgent(f, s.pingOut)
+		s.eachAgent(f, s.schedulePingTimeout)
 	case Cut:
-		s.cut(f)
+		s.partition(f)
 	case Leave:
-		s.eachAgent(f, s.leave)
+		s.eachAgent(f, s.drainAgent)
 	case RestartEntry:
 		s.eachEntry(f, s.killEntry)
 	case Repeat:
-		s.repeat = seconds(f.Factor)
+		s.duplicateDelay = seconds(f.Factor)
 	}
 	if f.For > 0 {
-		s.world.after(seconds(f.For), func() { s.heal(f) })
+		s.clock.after(seconds(f.For), func() { s.clearFault(f) })
 	}
 }
 
-// heal ends a fault.
-func (s *Session) heal(f Fault) {
-	s.note(record{Kind: healed, Detail: string(f.Kind) + " " + strings.Join(f.Hosts, ",")})
+// clearFault ends a fault.
+func (s *Session) clearFault(f Fault) {
+	s.addRecord(record{Kind: healed, Detail: string(f.Kind) + " " + strings.Join(f.Hosts, ",")})
 	switch f.Kind {
 	case Slow:
 		s.eachAgent(f, func(a *agentHost) { a.engine.speed = 1 })
@@ -46,14 +46,14 @@
 	case Restart:
 		s.eachAgent(f, func(a *agentHost) { a.boot() })
 	case Pause:
-		s.eachProcess(f, func(p *process) { p.wake() })
+		s.eachProcess(f, func(p *process) { p.resume() })
 	case Cut:
-		s.cuts = nil
+		s.partitions = nil
 	case RestartEntry:
 		s.eachEntry(f, func(e *entryHost) { e.boot() })
-		s.publish()
+		s.publishHosts()
 	case Repeat:
-		s.repeat = 0
+		s.duplicateDelay = 0
 	case Leave:
 	}
 }
@@ -79,48 +79,50 @@
 	s.eachEntry(f, func(e *entryHost) { do(&e.process) })
 }
 
-// cut separates the named entries from the named agents.
-func (s *Session) cut(f Fault) {
+// partition drops all messages between the named entries and the named agents, and breaks
+// their streams.
+func (s *Session) partition(f Fault) {
 	s.eachEntry(f, func(e *entryHost) {
 		s.eachAgent(f, func(a *agentHost) {
-			s.cuts = append(s.cuts, cut{e.id, a.id})
+			s.partitions = append(s.partitions, partition{e.id, a.id})
 			for _, id := range sortedKeys(a.streams) {
 				if x := a.streams[id]; x.entry == e && !x.call.ended {
-					s.breakStream(x)
+					s.disconnect(x)
 				}
 			}
 		})
 	})
 }
 
-// pingTimeout is how long a silent process keeps its connections.
+// pingTimeout is the time after which the connections of an unresponsive process break.
 const pingTimeout = 4 * time.Second
 
-// pingOut breaks the connections of an agent that is still paused after the
+// schedulePingTimeout breaks the connections of an agent if it is still paused after the
 // ping timeout.
-func (s *Session) pingOut(a *agentHost) {
-	s.world.after(pingTimeout, func() {
+func (s *Session) schedulePingTimeout(a *agentHost) {
+	s.clock.after(pingTimeout, func() {
 		if !a.paused {
 			return
 		}
 		for _, id := range sortedKeys(a.streams) {
 			x := a.streams[id]
-			x.entry.deliver(func() { x.entry.broken(x) })
+			x.entry.deliver(func() { x.entry.disconnected(x) })
 			a.deliver(func() { a.withdraw(x) })
 		}
 	})
 }
 
-// leave begins a planned stop; the platform's list tells it late.
-func (s *Session) leave(a *agentHost) {
-	s.note(record{Kind: leaving, Agent: a.id})
-	a.apply(a.core.Drain(s.world.now))
+// drainAgent begins a planned stop of an agent. The platform's host list shows it after
+// hostListDelay.
+func (s *Session) drainAgent(a *agentHost) {
+	s.addRecord(record{Kind: leaving, Agent: a.id})
+	a.execute(a.core.Drain(s.clock.now))
 	s.leaving[a.id] = true
-	s.world.after(listLag, s.publish)
+	s.clock.after(hostListDelay, s.publishHosts)
 }
 
-// killEntry ends an entry: its callers lose their connections, and its agents
-// notice that it is gone.
+// killEntry terminates an entry. Its callers lose their connections, and its agents notice
+// the loss after the network delay.
 func (s *Session) killEntry(e *entryHost) {
 	for _, c := range e.calls {
 		if c.ended {
@@ -128,7 +130,7 @@
 		}
 		e.end(c, dispatch.Unknown.String(), "entry lost")
 		for _, x := range c.streams {
-			s.world.after(s.delay(e.zone, x.agent.zone), func() { x.agent.deliver(func() { x.agent.withdraw(x) }) })
+			s.clock.after(s.delay(e.zone, x.agent.zone), func() { x.agent.deliver(func() { x.agent.withdraw(x) }) })
 		}
 	}
 	e.dead = true
--- a/internal/session/measure/main.go
+++ b/internal/session/measure/main.go
@@ -1,5 +1,5 @@
-// Command measure runs the measured sessions of both deployments and writes
-// their rows.
+// Command measure runs the scenarios of both example deployments under all policies and
+// writes the resulting metrics as JSON.
 //
 // # Usage
 //
@@ -24,15 +24,15 @@
 	out := flag.String("out", "out/measure.json", "file to write")
 	examples := flag.String("examples", "examples", "folder of the deployments' configurations")
 	only := flag.String("only", "", "run only the scenario of this name")
-	print1 := flag.Bool("violations", false, "print the violations")
+	showViolations := flag.Bool("violations", false, "print the violations")
 	flag.Parse()
-	if err := run(*out, *examples, *only, *print1); err != nil {
+	if err := run(*out, *examples, *only, *showViolations); err != nil {
 		_, _ = fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-func run(out, examples, only string, show bool) error {
+func run(out, examples, only string, showViolations bool) error {
 	var scripts []*session.Script
 	configs := make(map[string]*config.Config)
 	for _, deployment := range []string{"tallowbark", "salish"} {
@@ -51,7 +51,7 @@
 			}
 		}
 	}
-	rows, err := measure(scripts, configs, show)
+	rows, err := measure(scripts, configs, showViolations)
 	if err != nil {
 		return err
 	}
@@ -65,9 +65,9 @@
 	return os.WriteFile(out, append(text, '\n'), 0o600)
 }
 
-// measure runs all scripts under all policies; the order of the rows does not
-// depend on which run ends first.
-func measure(scripts []*session.Script, configs map[string]*config.Config, show bool) ([]session.Row, error) {
+// measure runs all scripts under all policies. The order of the rows does not depend on the
+// order in which the runs end.
+func measure(scripts []*session.Script, configs map[string]*config.Config, showViolations bool) ([]session.Row, error) {
 	policies := session.Policies()
 	results := make([][]session.Row, len(scripts)*len(policies))
 	var group errgroup.Group
@@ -80,7 +80,7 @@
 					return err
 				}
 				results[i*len(policies)+j] = result.Rows()
-				if show {
+				if showViolations {
 					for _, v := range result.Violations() {
 						_, _ = fmt.Fprintln(os.Stderr, s.Deployment, s.Name, p.Name, v)
 					}
--- a/internal/session/policy.go
+++ b/internal/session/policy.go
@@ -8,17 +8,19 @@
 	"github.com/gladegauge/gladegauge/internal/core/route"
 )
 
-// Policy is a named set of the options that differ between comparisons.
+// Policy is a named set of core options. The same scenarios run under several policies to
+// compare them.
 type Policy struct {
 	Name  string
 	Agent agent.Options
 	Entry entry.Options
 }
 
-// Current is the product's own policy.
+// Current is the policy of the product: all options have their defaults.
 var Current = Policy{Name: "current"}
 
-// FIFORandom is the baseline: a random agent, and first come, first served.
+// FIFORandom is the baseline: each request is offered to a random agent, which serves
+// requests first come, first served.
 var FIFORandom = Policy{
 	Name:  "fifo-random",
 	Agent: agent.Options{Queue: queue.Policy{FIFO: true}, NoRefusal: true, NoPreemption: true},
@@ -29,20 +31,21 @@
 	},
 }
 
-// OneAgent is the product's policy but for late binding: each request is
-// pushed to the best of the agents that were sampled.
+// OneAgent is the policy of the product without late binding: each request is offered only
+// to the best of the sampled agents.
 var OneAgent = Policy{
 	Name:  "one-agent",
 	Entry: entry.Options{Dispatch: dispatch.Options{ConcurrentOffers: 1}},
 }
 
-// ThreeAgents offers each request to three agents instead of two.
+// ThreeAgents is the policy of the product, but offers each request to three agents
+// instead of two.
 var ThreeAgents = Policy{
 	Name:  "three-agents",
 	Entry: entry.Options{Dispatch: dispatch.Options{ConcurrentOffers: 3}},
 }
 
-// Policies returns the policies that the measure compares.
+// Policies returns the policies that the measure command compares.
 func Policies() []Policy {
 	return []Policy{Current, FIFORandom, OneAgent, ThreeAgents}
 }
--- a/internal/session/scenarios.go
+++ b/internal/session/scenarios.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// mix is a deployment's load at 60 % of its capacity, and who takes part in
-// its scenarios.
-type mix struct {
+// workload is the base load of a deployment, which uses 60 % of the capacity of each pool,
+// and the classes and the organisation that exceed it in the scenarios.
+type workload struct {
 	load []Load
-	// low and protected are the classes that burst alone.
-	low, protected string
-	greedy         string
+	// lowClass and protectedClass are the classes with a burst of their own.
+	lowClass, protectedClass string
+	greedy                   string
 }
 
-var mixes = map[string]mix{
+var workloads = map[string]workload{
 	"tallowbark": {
 		load: []Load{
 			{Class: "counter", Share: 0.15},
@@ -21,7 +21,7 @@
 			{Class: "overnight", Share: 0.1},
 			{Class: "activation", Share: 0.6},
 		},
-		low: "notes", protected: "kiosk", greedy: "mackay-phones",
+		lowClass: "notes", protectedClass: "kiosk", greedy: "mackay-phones",
 	},
 	"salish": {
 		load: []Load{
@@ -32,41 +32,41 @@
 			{Class: "registration", Share: 0.4},
 			{Class: "standings", Share: 0.2},
 		},
-		low: "player-question", protected: "ruling", greedy: "hope-tables",
+		lowClass: "player-question", protectedClass: "ruling", greedy: "hope-tables",
 	},
 }
 
-// Times of the scenarios, in seconds.
+// Duration of the scenarios and interval of their additional load, in seconds.
 const (
 	scenarioEnd = 180
-	eventFrom   = 20
-	eventTo     = 140
+	burstFrom   = 20
+	burstTo     = 140
 )
 
-// Scenarios returns the measured sessions of a deployment.
+// Scenarios returns the scripts that are measured for a deployment.
 func Scenarios(deployment string) []*Script {
-	m := mixes[deployment]
-	make1 := func(name string, load []Load, faults ...Fault) *Script {
+	w := workloads[deployment]
+	newScript := func(name string, load []Load, faults ...Fault) *Script {
 		return &Script{Name: name, Deployment: deployment, Seconds: scenarioEnd, Seed: 42, Load: load, Faults: faults}
 	}
-	steady := m.steady()
-	burst := m.burstOf(m.low, 4)
+	steady := w.steady()
+	burst := w.withBurst(w.lowClass, 4)
 	crash := Fault{Kind: Crash, At: 60, For: 20, Hosts: []string{"agent-2"}}
 	return []*Script{
-		make1("steady", steady),
-		make1("burst-low", burst),
-		make1("burst-protected", m.burstOf(m.protected, 4)),
-		make1("round-one", m.roundOne(4)),
-		make1("slow-engine", steady, Fault{Kind: Slow, At: 40, For: 60, Factor: 0.25, Hosts: []string{"agent-1"}}),
-		make1("engine-crash", steady, crash),
-		make1("agent-restart", steady, Fault{Kind: Restart, At: 50, For: 2, Hosts: []string{"agent-1"}}, Fault{Kind: Restart, At: 90, For: 2, Hosts: []string{"agent-3"}}),
-		make1("half-cut", steady, Fault{Kind: Cut, At: 50, For: 40, Hosts: append(evenHosts(deployment), "entry-1")}),
-		make1("greedy", m.greedyLoad()),
-		make1("burst-crash", burst, crash),
+		newScript("steady", steady),
+		newScript("burst-low", burst),
+		newScript("burst-protected", w.withBurst(w.protectedClass, 4)),
+		newScript("round-one", w.withAllScaled(4)),
+		newScript("slow-engine", steady, Fault{Kind: Slow, At: 40, For: 60, Factor: 0.25, Hosts: []string{"agent-1"}}),
+		newScript("engine-crash", steady, crash),
+		newScript("agent-restart", steady, Fault{Kind: Restart, At: 50, For: 2, Hosts: []string{"agent-1"}}, Fault{Kind: Restart, At: 90, For: 2, Hosts: []string{"agent-3"}}),
+		newScript("half-cut", steady, Fault{Kind: Cut, At: 50, For: 40, Hosts: append(evenHosts(deployment), "entry-1")}),
+		newScript("greedy", w.withGreedy()),
+		newScript("burst-crash", burst, crash),
 	}
 }
 
-// evenHosts are half of the agents.
+// evenHosts returns the IDs of the agents with even numbers, half of all agents.
 func evenHosts(deployment string) []string {
 	n := 0
 	for _, replicas := range sites[deployment].Replicas {
@@ -79,31 +79,31 @@
 	return hosts
 }
 
-func (m mix) steady() []Load {
-	load := slices.Clone(m.load)
+func (w workload) steady() []Load {
+	load := slices.Clone(w.load)
 	for i := range load {
 		load[i].To = scenarioEnd
 	}
 	return load
 }
 
-// burstOf adds requests of one class at a multiple of the pool's capacity.
-func (m mix) burstOf(class string, times float64) []Load {
-	return append(m.steady(), Load{Class: class, From: eventFrom, To: eventTo, Share: times})
+// withBurst adds a burst of one class, at a multiple of the pool's capacity.
+func (w workload) withBurst(class string, factor float64) []Load {
+	return append(w.steady(), Load{Class: class, From: burstFrom, To: burstTo, Share: factor})
 }
 
-// roundOne adds a multiple of every class's own load.
-func (m mix) roundOne(times float64) []Load {
-	load := m.steady()
-	for _, l := range m.load {
-		load = append(load, Load{Class: l.Class, From: eventFrom, To: eventTo, Share: l.Share * (times - 1)})
+// withAllScaled multiplies the load of every class by a factor during the burst interval.
+func (w workload) withAllScaled(factor float64) []Load {
+	load := w.steady()
+	for _, l := range w.load {
+		load = append(load, Load{Class: l.Class, From: burstFrom, To: burstTo, Share: l.Share * (factor - 1)})
 	}
 	return load
 }
 
-// greedyLoad lets one organisation send ten times its share of a class at the
-// edge of the capacity.
-func (m mix) greedyLoad() []Load {
-	load := m.steady()
-	return append(load, Load{Class: m.low, From: eventFrom, To: eventTo, Share: 1, Greedy: m.greedy})
+// withGreedy adds requests of one class that fill the capacity of its pool, of which one
+// organisation sends ten times its share.
+func (w workload) withGreedy() []Load {
+	load := w.steady()
+	return append(load, Load{Class: w.lowClass, From: burstFrom, To: burstTo, Share: 1, Greedy: w.greedy})
 }
--- a/internal/session/script.go
+++ b/internal/session/script.go
@@ -10,7 +10,7 @@
 	"github.com/gladegauge/gladegauge/internal/core/config"
 )
 
-// Script is one session: who asks for what, and what fails.
+// Script describes a session: its deployment, load and faults. Times are in seconds.
 type Script struct {
 	Name       string  `json:"name"`
 	Deployment string  `json:"deployment"`
@@ -20,43 +20,45 @@
 	Faults     []Fault `json:"faults"`
 }
 
-// Load is requests of one class over a time.
+// Load describes the requests of one class during an interval.
 type Load struct {
 	Class string  `json:"class"`
 	From  float64 `json:"from"`
 	To    float64 `json:"to"`
-	// Share is the part of the pool's capacity that the load needs.
+	// Share is the offered load as a fraction of the pool's capacity.
 	Share float64 `json:"share"`
-	// Greedy is an organisation that sends ten times its share.
+	// Greedy is an organisation that sends ten times its share of the requests.
 	Greedy string `json:"greedy"`
 }
 
-// FaultKind names what fails.
+// FaultKind is the kind of a fault.
 type FaultKind string
 
-// Kinds of fault.
+// Kinds of faults.
 const (
-	// Slow makes the engines of agents run at Factor of their speed.
+	// Slow multiplies the speed of the agents' engines by Factor.
 	Slow FaultKind = "slow"
-	// Crash ends the engines of agents; they come back after For.
+	// Crash takes the engines of agents down for the time For.
 	Crash FaultKind = "crash"
-	// Restart ends agents; new incarnations come back after For.
+	// Restart terminates agents and starts new incarnations after For.
 	Restart FaultKind = "restart"
-	// Pause stops agents or entries; they wake after For and go on.
+	// Pause suspends agents or entries and resumes them after For.
 	Pause FaultKind = "pause"
 	// Cut drops all messages between the named entries and agents.
 	Cut FaultKind = "cut"
-	// Leave begins a planned stop of agents.
+	// Leave begins a planned stop of agents. It does not end.
 	Leave FaultKind = "leave"
-	// RestartEntry ends entries; their callers lose their connections.
+	// RestartEntry terminates entries and restarts them after For. Their callers lose
+	// their connections.
 	RestartEntry FaultKind = "restart-entry"
-	// Repeat delivers messages twice, the copy late by Factor seconds.
+	// Repeat duplicates all messages. The copy is delivered Factor seconds after the
+	// message was sent.
 	Repeat FaultKind = "repeat"
 )
 
 var faultKinds = []FaultKind{Slow, Crash, Restart, Pause, Cut, Leave, RestartEntry, Repeat}
 
-// Fault is something that fails for a time.
+// Fault is a fault that begins at the time At and lasts for the time For.
 type Fault struct {
 	Kind   FaultKind `json:"kind"`
 	At     float64   `json:"at"`
@@ -65,7 +67,7 @@
 	Hosts  []string  `json:"hosts"`
 }
 
-// ParseScript reads and checks a script.
+// ParseScript decodes and validates a script.
 func ParseScript(text []byte) (*Script, error) {
 	s := &Script{}
 	if err := yaml.UnmarshalStrict(text, s); err != nil {
@@ -82,32 +84,33 @@
 	return s, nil
 }
 
-// Site is where a deployment runs: its configuration and sizes.
+// Site is the environment of a deployment: its configuration, size and network delays.
 type Site struct {
 	Config *config.Config
-	// Replicas is the number of upstreams by pool.
+	// Replicas is the number of upstreams of each pool.
 	Replicas map[string]int
 	Zones    []string
 	Entries  int
-	// Near and Far are one-way delays inside and between availability zones.
-	Near time.Duration
-	Far  time.Duration
+	// IntraZoneDelay and InterZoneDelay are the one-way network delays within and between
+	// availability zones.
+	IntraZoneDelay time.Duration
+	InterZoneDelay time.Duration
 }
 
-// Sizes of the two deployments, from the brief.
+// sites holds the two example deployments by name. Their configuration is passed to Run.
 var sites = map[string]Site{
 	"tallowbark": {
-		Replicas: map[string]int{"activation-model": 9, "activation-service": 3},
-		Zones:    []string{"north", "south", "west"},
-		Entries:  3,
-		Near:     250 * time.Microsecond,
-		Far:      time.Millisecond,
+		Replicas:       map[string]int{"activation-model": 9, "activation-service": 3},
+		Zones:          []string{"north", "south", "west"},
+		Entries:        3,
+		IntraZoneDelay: 250 * time.Microsecond,
+		InterZoneDelay: time.Millisecond,
 	},
 	"salish": {
-		Replicas: map[string]int{"judge-model": 12, "player-app": 3},
-		Zones:    []string{"hall-1", "hall-2", "hall-3"},
-		Entries:  3,
-		Near:     150 * time.Microsecond,
-		Far:      500 * time.Microsecond,
+		Replicas:       map[string]int{"judge-model": 12, "player-app": 3},
+		Zones:          []string{"hall-1", "hall-2", "hall-3"},
+		Entries:        3,
+		IntraZoneDelay: 150 * time.Microsecond,
+		InterZoneDelay: 500 * time.Microsecond,
 	},
 }
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -13,23 +13,24 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// Times of a session.
+// Timing and load parameters of a session.
 const (
-	agentTick = 100 * time.Millisecond
-	entryTick = 250 * time.Millisecond
-	// detection is how long a broken connection takes to be noticed.
-	detection = 2 * time.Second
-	// listLag is how late the platform's list is.
-	listLag = 2 * time.Second
-	// afterwards is how long a session goes on at most after its load has
-	// ended, until every request has its answer.
-	afterwards = 30 * time.Minute
-	// lengthSpread is the sigma of the logarithm of an answer's length.
-	lengthSpread = 0.9
-	prefixes     = 40
+	agentTickInterval = 100 * time.Millisecond
+	entryTickInterval = 250 * time.Millisecond
+	// disconnectDelay is the time until both sides of a broken connection notice it.
+	disconnectDelay = 2 * time.Second
+	// hostListDelay is the time until a change appears in the platform's host list.
+	hostListDelay = 2 * time.Second
+	// completionTimeout is the maximum time that a session continues after the end
+	// of its load, until every request is answered.
+	completionTimeout = 30 * time.Minute
+	// lengthSigma is the standard deviation of the logarithm of a response's length.
+	lengthSigma = 0.9
+	// prefixCount is the number of distinct prompt prefixes.
+	prefixCount = 40
 )
 
-// request is one caller's request as the session knows it.
+// request is a caller's request, with the times and the result that its session recorded.
 type request struct {
 	id           int
 	class        *config.Class
@@ -40,32 +41,32 @@
 	prefix       int
 	arrived      time.Time
 	firstToken   time.Time
-	begun        time.Time
+	started      time.Time
 	ended        time.Time
 	result       string
 	reason       string
 }
 
-// Session is one run of a script.
+// Session is one run of a script under a policy.
 type Session struct {
-	script   *Script
-	site     Site
-	policy   Policy
-	world    *world
-	entries  []*entryHost
-	agents   []*agentHost
-	requests []*request
-	records  []record
-	cuts     []cut
-	repeat   time.Duration
-	list     uint64
-	leaving  map[string]bool
+	script         *Script
+	site           Site
+	policy         Policy
+	clock          *clock
+	entries        []*entryHost
+	agents         []*agentHost
+	requests       []*request
+	records        []record
+	partitions     []partition
+	duplicateDelay time.Duration
+	listVersion    uint64
+	leaving        map[string]bool
 }
 
-// cut is a pair of processes whose messages are dropped.
-type cut struct{ entry, agent string }
+// partition is an entry and an agent whose messages to each other are dropped.
+type partition struct{ entry, agent string }
 
-// Run runs a script under a policy, with the deployment's configuration.
+// Run runs a script under a policy, with the configuration of the script's deployment.
 func Run(script *Script, cfg *config.Config, p Policy) (*Session, error) {
 	site, ok := sites[script.Deployment]
 	if !ok {
@@ -76,20 +77,20 @@
 		script:  script,
 		site:    site,
 		policy:  p,
-		world:   newWorld(script.Seed),
+		clock:   newClock(script.Seed),
 		leaving: make(map[string]bool),
 	}
-	s.build()
-	if err := s.plan(); err != nil {
+	s.buildHosts()
+	if err := s.scheduleLoadAndFaults(); err != nil {
 		return nil, err
 	}
-	s.world.run(start.Add(seconds(script.Seconds)), func() bool { return false })
-	s.world.run(s.world.now.Add(afterwards), s.answered)
+	s.clock.run(start.Add(seconds(script.Seconds)), func() bool { return false })
+	s.clock.run(s.clock.now.Add(completionTimeout), s.idle)
 	return s, nil
 }
 
-// answered reports whether every request has its answer and no engine works.
-func (s *Session) answered() bool {
+// idle reports whether every request is answered and no engine has a run.
+func (s *Session) idle() bool {
 	for _, a := range s.agents {
 		if len(a.engine.runs) > 0 {
 			return false
@@ -105,8 +106,8 @@
 
 func seconds(f float64) time.Duration { return time.Duration(f * float64(time.Second)) }
 
-// build makes the hosts.
-func (s *Session) build() {
+// buildHosts creates the agents and the entries and starts their periodic work.
+func (s *Session) buildHosts() {
 	for _, pool := range slices.Sorted(maps.Keys(s.site.Replicas)) {
 		for range s.site.Replicas[pool] {
 			n := len(s.agents)
@@ -121,8 +122,8 @@
 		h.boot()
 		s.entries = append(s.entries, h)
 	}
-	s.publish()
-	s.world.every(engineStep, func() bool {
+	s.publishHosts()
+	s.clock.every(engineStep, func() bool {
 		for _, a := range s.agents {
 			a.engine.step()
 		}
@@ -130,12 +131,12 @@
 	})
 }
 
-// publish gives all entries the list of hosts.
-func (s *Session) publish() {
-	s.list++
+// publishHosts sends the current host lists to all entries.
+func (s *Session) publishHosts() {
+	s.listVersion++
 	lists := make(map[string]*gladegaugev1.HostList)
 	for _, zone := range s.site.Zones {
-		lists[zone] = &gladegaugev1.HostList{Zone: zone, Version: s.list}
+		lists[zone] = &gladegaugev1.HostList{Zone: zone, Version: s.listVersion}
 	}
 	for _, a := range s.agents {
 		lists[a.zone].Hosts = append(lists[a.zone].Hosts, &gladegaugev1.Host{
@@ -156,20 +157,20 @@
 	}
 }
 
-// plan puts the load and the faults on the agenda.
-func (s *Session) plan() error {
+// scheduleLoadAndFaults adds the load and the faults of the script to the event queue.
+func (s *Session) scheduleLoadAndFaults() error {
 	for i, l := range s.script.Load {
 		class, ok := s.site.Config.Class(l.Class)
 		if !ok {
 			return fmt.Errorf("load[%d].class: no class %q", i, l.Class)
 		}
-		a := arrivals{s: s, load: l, class: class, pool: s.poolOf(class.Name)}
-		a.rng = rand.New(rand.NewPCG(s.script.Seed, uint64(i+1))) //nolint:gosec // A fixed seed is the point.
-		a.organisations = organisationNames(s.site.Config, class)
-		s.world.after(seconds(l.From), a.next)
+		g := loadGenerator{s: s, load: l, class: class, pool: s.poolOf(class.Name)}
+		g.rng = rand.New(rand.NewPCG(s.script.Seed, uint64(i+1))) //nolint:gosec // A fixed seed is the point.
+		g.organisations = allowedOrganisations(s.site.Config, class)
+		s.clock.after(seconds(l.From), g.next)
 	}
 	for _, f := range s.script.Faults {
-		s.world.after(seconds(f.At), func() { s.begin(f) })
+		s.clock.after(seconds(f.At), func() { s.injectFault(f) })
 	}
 	return nil
 }
@@ -183,8 +184,8 @@
 	return nil
 }
 
-// arrivals makes the requests of one load.
-type arrivals struct {
+// loadGenerator generates the requests of one load as a Poisson process.
+type loadGenerator struct {
 	s             *Session
 	load          Load
 	class         *config.Class
@@ -193,7 +194,7 @@
 	rng           *rand.Rand
 }
 
-func organisationNames(cfg *config.Config, class *config.Class) []*config.Organisation {
+func allowedOrganisations(cfg *config.Config, class *config.Class) []*config.Organisation {
 	var all []*config.Organisation
 	for _, o := range cfg.Organisations() {
 		if class.Allows(o.Name) {
@@ -203,73 +204,73 @@
 	return all
 }
 
-// rate is requests a second.
-func (a *arrivals) rate() float64 {
-	slots := float64(a.s.site.Replicas[a.pool.Name] * a.pool.Slots)
-	return a.load.Share * slots / a.s.meanTime(a.class, a.pool).Seconds()
+// rate returns the requests per second.
+func (g *loadGenerator) rate() float64 {
+	slots := float64(g.s.site.Replicas[g.pool.Name] * g.pool.Slots)
+	return g.load.Share * slots / g.s.meanSlotTime(g.class, g.pool).Seconds()
 }
 
-// meanTime is the time that a request of the class holds a slot, on average.
-func (s *Session) meanTime(c *config.Class, p *config.Pool) time.Duration {
+// meanSlotTime returns the mean time for which a request of the class occupies a slot.
+func (s *Session) meanSlotTime(c *config.Class, p *config.Pool) time.Duration {
 	if p.Kind == config.KindService {
 		return serviceTime
 	}
-	return promptTime + time.Duration(float64(c.ExpectedTokens)/tokenRate*float64(time.Second))
+	return prefillTime + time.Duration(float64(c.ExpectedTokens)/tokenRate*float64(time.Second))
 }
 
-func (a *arrivals) next() {
-	if a.s.world.elapsed() >= seconds(a.load.To) {
+func (g *loadGenerator) next() {
+	if g.s.clock.elapsed() >= seconds(g.load.To) {
 		return
 	}
-	gap := a.rng.ExpFloat64() / a.rate()
-	a.s.world.after(seconds(gap), a.next)
+	gap := g.rng.ExpFloat64() / g.rate()
+	g.s.clock.after(seconds(gap), g.next)
 	r := &request{
-		id:           len(a.s.requests) + 1,
-		class:        a.class,
-		pool:         a.pool,
-		service:      a.pool.Kind == config.KindService,
-		organisation: a.organisation(),
-		tokens:       a.tokens(),
-		prefix:       1 + a.rng.IntN(prefixes),
-		arrived:      a.s.world.now,
+		id:           len(g.s.requests) + 1,
+		class:        g.class,
+		pool:         g.pool,
+		service:      g.pool.Kind == config.KindService,
+		organisation: g.organisation(),
+		tokens:       g.tokens(),
+		prefix:       1 + g.rng.IntN(prefixCount),
+		arrived:      g.s.clock.now,
 	}
-	a.s.requests = append(a.s.requests, r)
-	a.s.note(record{Kind: arrived, Request: r.id, Class: r.class.Name, Detail: r.organisation.Name})
-	e := a.s.entries[a.rng.IntN(len(a.s.entries))]
+	g.s.requests = append(g.s.requests, r)
+	g.s.addRecord(record{Kind: arrived, Request: r.id, Class: r.class.Name, Detail: r.organisation.Name})
+	e := g.s.entries[g.rng.IntN(len(g.s.entries))]
 	for e.dead {
-		e = a.s.entries[a.rng.IntN(len(a.s.entries))]
+		e = g.s.entries[g.rng.IntN(len(g.s.entries))]
 	}
 	e.deliver(func() { e.serve(r) })
 }
 
-// organisation draws one, by weight; a greedy one sends ten times as much.
-func (a *arrivals) organisation() *config.Organisation {
+// organisation picks a random organisation by weight. The greedy one counts ten times.
+func (g *loadGenerator) organisation() *config.Organisation {
 	weight := func(o *config.Organisation) float64 {
-		if o.Name == a.load.Greedy {
+		if o.Name == g.load.Greedy {
 			return 10 * o.Weight
 		}
 		return o.Weight
 	}
 	var sum float64
-	for _, o := range a.organisations {
+	for _, o := range g.organisations {
 		sum += weight(o)
 	}
-	at := a.rng.Float64() * sum
-	for _, o := range a.organisations {
+	at := g.rng.Float64() * sum
+	for _, o := range g.organisations {
 		if at -= weight(o); at < 0 {
 			return o
 		}
 	}
-	return a.organisations[0]
+	return g.organisations[0]
 }
 
-// tokens draws a length with a heavy tail.
-func (a *arrivals) tokens() int {
-	if a.pool.Kind == config.KindService {
+// tokens draws a response length from a log-normal distribution, for its heavy tail.
+func (g *loadGenerator) tokens() int {
+	if g.pool.Kind == config.KindService {
 		return 1
 	}
-	mean := float64(a.class.ExpectedTokens)
-	n := mean * math.Exp(a.rng.NormFloat64()*lengthSpread-lengthSpread*lengthSpread/2)
+	mean := float64(g.class.ExpectedTokens)
+	n := mean * math.Exp(g.rng.NormFloat64()*lengthSigma-lengthSigma*lengthSigma/2)
 	return int(min(max(n, 3), 20*mean))
 }
 
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -19,7 +19,7 @@
 	"github.com/gladegauge/gladegauge/internal/edge/configdir"
 )
 
-func exampleConfig(t *testing.T, deployment string) *config.Config {
+func readExampleConfig(t *testing.T, deployment string) *config.Config {
 	t.Helper()
 	source, err := configdir.Read(filepath.Join("..", "..", "examples", deployment))
 	if err != nil {
@@ -45,7 +45,7 @@
 	return script
 }
 
-// TestGoldenSessions compares whole transcripts; make golden records them anew.
+// TestGoldenSessions compares complete transcripts; make golden updates the golden files.
 func TestGoldenSessions(t *testing.T) {
 	paths, err := filepath.Glob("testdata/sessions/*.yaml")
 	if err != nil || len(paths) == 0 {
@@ -55,7 +55,7 @@
 		script := readScript(t, path)
 		t.Run(script.Name, func(t *testing.T) {
 			is := is.New(t)
-			s, err := Run(script, exampleConfig(t, script.Deployment), Current)
+			s, err := Run(script, readExampleConfig(t, script.Deployment), Current)
 			is.NoErr(err)
 			is.Equal(s.Violations(), nil)
 			rows, err := json.MarshalIndent(s.Rows(), "", "  ")
@@ -66,9 +66,9 @@
 	}
 }
 
-// TestCheckTrips shows that each check fails when the promise is broken.
-func TestCheckTrips(t *testing.T) {
-	cfg := exampleConfig(t, "tallowbark")
+// TestChecksDetectViolations verifies that each check reports the violation of its guarantee.
+func TestChecksDetectViolations(t *testing.T) {
+	cfg := readExampleConfig(t, "tallowbark")
 	reqs := func() []*request {
 		counter, _ := cfg.Class("counter")
 		activation, _ := cfg.Class("activation")
@@ -86,11 +86,11 @@
 		want    string
 	}{
 		{"run twice", []record{started(2, "activation"), started(2, "activation")}, "ran 2 times"},
-		{"false not run", []record{started(1, "counter"), {Kind: finished, Request: 1, Class: "counter", Detail: "not_run overload"}}, "after it had been started"},
-		{"run after not run", []record{{Kind: finished, Request: 1, Class: "counter", Detail: "not_run overload"}, started(1, "counter")}, "after it was answered"},
-		{"part for the whole", []record{started(1, "counter"), {Kind: engineEnded, Request: 1, Class: "counter", Tokens: 5}, {Kind: finished, Request: 1, Class: "counter", Detail: "completed ", Tokens: 4}}, "4 of 5 tokens"},
+		{"not run after a start", []record{started(1, "counter"), {Kind: finished, Request: 1, Class: "counter", Detail: "not_run overload"}}, "after it had been started"},
+		{"started after not run", []record{{Kind: finished, Request: 1, Class: "counter", Detail: "not_run overload"}, started(1, "counter")}, "after it was answered"},
+		{"incomplete response", []record{started(1, "counter"), {Kind: engineEnded, Request: 1, Class: "counter", Tokens: 5}, {Kind: finished, Request: 1, Class: "counter", Detail: "completed ", Tokens: 4}}, "4 of 5 tokens"},
 		{"protected preempted", []record{{Kind: preempted, Request: 1, Class: "counter"}}, "protected request was preempted"},
-		{"protected shed", []record{{Kind: refused, Request: 1, Class: "counter", Agent: "agent-1", Detail: "overload", Lower: 8}}, "protected request was shed"},
+		{"protected shed", []record{{Kind: refused, Request: 1, Class: "counter", Agent: "agent-1", Detail: "overload", PreemptibleRuns: 8}}, "protected request was shed"},
 		{"leaving upstream", []record{{Kind: leaving, Agent: "agent-1"}, {At: 4e9, Kind: engineStarted, Request: 1, Class: "counter", Agent: "agent-1"}}, "began to leave"},
 		{"answered twice", []record{{Kind: finished, Request: 1, Class: "counter", Detail: "unknown "}, {Kind: finished, Request: 1, Class: "counter", Detail: "unknown "}}, "answered twice"},
 		{"starved", []record{{Kind: accepted, Request: 1, Class: "counter"}, {At: 61e9, Kind: engineStarted, Request: 1, Class: "counter"}}, "starved"},
@@ -101,16 +101,16 @@
 			is := is.New(t)
 			site := sites["tallowbark"]
 			site.Config = cfg
-			s := &Session{site: site, requests: reqs(), records: tt.records, world: newWorld(1)}
+			s := &Session{site: site, requests: reqs(), records: tt.records, clock: newClock(1)}
 			s.agents = []*agentHost{{id: "agent-1", pool: "activation-model"}}
 			is.True(strings.Contains(strings.Join(s.Violations(), "\n"), tt.want))
 		})
 	}
 }
 
-// TestBrokenPolicyTrips runs a policy without order or preemption against a
-// burst: the checks must notice.
-func TestBrokenPolicyTrips(t *testing.T) {
+// TestChecksDetectBrokenPolicy verifies that the checks report violations by a policy
+// without priorities and preemption under overload.
+func TestChecksDetectBrokenPolicy(t *testing.T) {
 	is := is.New(t)
 	script := &Script{
 		Name: "broken", Deployment: "tallowbark", Seconds: 90, Seed: 1,
@@ -124,19 +124,19 @@
 		Agent: agent.Options{Queue: queue.Policy{FIFO: true}, NoPreemption: true},
 		Entry: entry.Options{Dispatch: dispatch.Options{ConcurrentOffers: 1}},
 	}
-	s, err := Run(script, exampleConfig(t, "tallowbark"), broken)
+	s, err := Run(script, readExampleConfig(t, "tallowbark"), broken)
 	is.NoErr(err)
 	is.True(len(s.Violations()) > 0)
 }
 
-// TestSameEveryTime runs one session twice.
-func TestSameEveryTime(t *testing.T) {
+// TestRunIsDeterministic verifies that two runs of a script yield the same transcript.
+func TestRunIsDeterministic(t *testing.T) {
 	is := is.New(t)
 	script := Scenarios("salish")[9]
 	script.Seconds = 40
-	first, err := Run(script, exampleConfig(t, "salish"), Current)
+	first, err := Run(script, readExampleConfig(t, "salish"), Current)
 	is.NoErr(err)
-	second, err := Run(script, exampleConfig(t, "salish"), Current)
+	second, err := Run(script, readExampleConfig(t, "salish"), Current)
 	is.NoErr(err)
 	is.Equal(first.Transcript(), second.Transcript())
 }
@@ -144,7 +144,7 @@
 func TestParseScriptNamesTheField(t *testing.T) {
 	tests := []struct{ name, text, want string }{
 		{"unknown fault", "seconds: 1\nfaults: [{kind: melt}]", "faults[0].kind"},
-		{"no time", "name: x", "seconds"},
+		{"missing duration", "name: x", "seconds"},
 		{"unknown field", "seconds: 1\nspeed: 2", "speed"},
 	}
 	for _, tt := range tests {
@@ -156,9 +156,10 @@
 	}
 }
 
-// TestZoneCutServes cuts an availability zone off for two minutes under load:
-// both sides go on serving, and no promise is broken, then or after healing.
-func TestZoneCutServes(t *testing.T) {
+// TestZonePartition isolates an availability zone for two minutes under load. Both sides
+// must continue to serve requests, and all guarantees must hold during the partition and
+// after it.
+func TestZonePartition(t *testing.T) {
 	for _, deployment := range []string{"tallowbark", "salish"} {
 		t.Run(deployment, func(t *testing.T) {
 			is := is.New(t)
@@ -174,9 +175,9 @@
 					outside = append(outside, agentName(n))
 				}
 			}
-			load := mixes[deployment].steady()
+			load := workloads[deployment].steady()
 			for i := range load {
-				load[i].Share /= 2 // A third of the pool must carry a third of this.
+				load[i].Share /= 2 // A third of the agents must carry a third of this load.
 			}
 			script := &Script{
 				Name: "zone-cut", Deployment: deployment, Seconds: scenarioEnd, Seed: 7, Load: load,
@@ -185,7 +186,7 @@
 					{Kind: Cut, At: 30, For: 120, Hosts: append([]string{"entry-2", "entry-3"}, inside...)},
 				},
 			}
-			s, err := Run(script, exampleConfig(t, deployment), Current)
+			s, err := Run(script, readExampleConfig(t, deployment), Current)
 			is.NoErr(err)
 			is.Equal(s.Violations(), nil)
 			started := map[string]int{}
@@ -194,7 +195,7 @@
 					started[r.Agent]++
 				}
 			}
-			is.Equal(len(started), agents) // Every agent served somebody.
+			is.Equal(len(started), agents) // Every agent started requests.
 			for _, row := range s.Rows() {
 				if row.Protected {
 					t.Logf("%s: attainment %.4f, unknown %d", row.Class, row.Attainment, row.Unknown)
--- a/internal/session/stream.go
+++ b/internal/session/stream.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// process is what agents and entries have in common: it can be paused, and
-// what reaches it meanwhile is handled when it wakes.
+// process is the common part of agents and entries. A paused process queues its incoming
+// messages and handles them when it is resumed.
 type process struct {
 	paused bool
 	inbox  []func()
@@ -20,7 +20,7 @@
 	do()
 }
 
-func (p *process) wake() {
+func (p *process) resume() {
 	p.paused = false
 	inbox := p.inbox
 	p.inbox = nil
@@ -29,43 +29,44 @@
 	}
 }
 
-// stream is one attempt's connection between an entry and an agent.
+// stream is the connection of one attempt between an entry and an agent.
 type stream struct {
-	id    string
-	n     int
-	call  *call
-	entry *entryHost
-	agent *agentHost
-	life  int
-	// closed by the entry; lost to the entry.
+	id          string
+	attempt     int
+	call        *call
+	entry       *entryHost
+	agent       *agentHost
+	incarnation int
+	// closed is set when the entry has withdrawn the attempt, lost when the entry has
+	// noticed the end of the connection.
 	closed, lost bool
 }
 
-// send carries a message over the stream's connection, unless it is cut. A
-// lost message breaks the connection on both sides.
+// send delivers a message over the stream after the network delay. During a partition the
+// message is dropped, which breaks the connection on both sides.
 func (x *stream) send(to *process, do func()) {
 	s := x.entry.s
-	if slices.Contains(s.cuts, cut{x.entry.id, x.agent.id}) {
-		s.breakStream(x)
+	if slices.Contains(s.partitions, partition{x.entry.id, x.agent.id}) {
+		s.disconnect(x)
 		return
 	}
-	s.world.after(s.delay(x.entry.zone, x.agent.zone), func() { to.deliver(do) })
-	if s.repeat > 0 {
-		s.world.after(s.repeat, func() { to.deliver(do) })
+	s.clock.after(s.delay(x.entry.zone, x.agent.zone), func() { to.deliver(do) })
+	if s.duplicateDelay > 0 {
+		s.clock.after(s.duplicateDelay, func() { to.deliver(do) })
 	}
 }
 
 func (s *Session) delay(a, b string) time.Duration {
 	if a == b {
-		return s.site.Near
+		return s.site.IntraZoneDelay
 	}
-	return s.site.Far
+	return s.site.InterZoneDelay
 }
 
-// breakStream lets both sides notice that the connection is gone.
-func (s *Session) breakStream(x *stream) {
-	s.world.after(detection, func() {
-		x.entry.deliver(func() { x.entry.broken(x) })
+// disconnect breaks a connection. Both sides notice it after disconnectDelay.
+func (s *Session) disconnect(x *stream) {
+	s.clock.after(disconnectDelay, func() {
+		x.entry.deliver(func() { x.entry.disconnected(x) })
 		x.agent.deliver(func() { x.agent.withdraw(x) })
 	})
 }
--- a/internal/session/summary.go
+++ b/internal/session/summary.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// All names the row over all classes of a scenario.
+// All is the class name of the row that covers all classes of a scenario.
 const All = "*"
 
-// Row is the measure of one class in one run of a scenario.
+// Row holds the metrics of one class in one run of a scenario.
 type Row struct {
 	Deployment string `json:"deployment"`
 	Scenario   string `json:"scenario"`
@@ -21,52 +21,54 @@
 	Completed  int    `json:"completed"`
 	Refused    int    `json:"refused"`
 	Unknown    int    `json:"unknown"`
-	// Abandoned counts callers that left before their answer began.
+	// Abandoned counts the requests whose caller disconnected before the first token.
 	Abandoned  int     `json:"abandoned"`
 	Attainment float64 `json:"attainment"`
-	// Goodput is the tokens of answers on time, of what a perfect scheduler
-	// could have made; see docs/MEASURES.md.
+	// Goodput is the number of tokens of responses that were on time, relative to the
+	// upper bound that a perfect scheduler could reach; see docs/MEASURES.md.
 	Goodput float64 `json:"goodput"`
-	// Wasted is the share of the engines' work that nobody could use.
+	// Wasted is the share of the engines' tokens that did not lead to a useful response.
 	Wasted    float64 `json:"wasted"`
 	MaxWaitMS int     `json:"max_wait_ms"`
-	// Fairness is Jain's index of useful tokens over entitlement.
+	// Fairness is Jain's index of the organisations' useful tokens relative to their
+	// entitlements.
 	Fairness   float64 `json:"fairness"`
 	Violations int     `json:"violations"`
-	// Amplification is engine starts for each request that was started.
+	// Amplification is the number of engine starts per request that was started.
 	Amplification float64 `json:"amplification"`
 }
 
-// work is the engines' tokens by request.
-type work struct {
+// engineUsage is the engine work that one request caused.
+type engineUsage struct {
 	tokens int
 	starts int
 }
 
-// works adds up the engines' tokens from the transcript.
-func (s *Session) works() map[int]work {
-	all := make(map[int]work)
+// usage sums the engine work of each request from the transcript.
+func (s *Session) usage() map[int]engineUsage {
+	all := make(map[int]engineUsage)
 	for _, r := range s.records {
-		w := all[r.Request]
+		u := all[r.Request]
 		switch r.Kind {
 		case engineStarted:
-			w.starts++
+			u.starts++
 		case engineStopped, engineEnded:
-			w.tokens += r.Tokens
+			u.tokens += r.Tokens
 		default:
 			continue
 		}
-		all[r.Request] = w
+		all[r.Request] = u
 	}
 	return all
 }
 
-// onTime reports whether the request's answer met its target.
+// onTime reports whether the response met its latency targets.
 func (r *request) onTime() bool {
 	return r.result == "completed" && r.class.MeetsTargets(r.firstToken.Sub(r.arrived), r.ended.Sub(r.arrived))
 }
 
-// useful reports whether the answer still mattered when it was complete.
+// useful reports whether a complete response arrived early enough to be of use to its
+// caller.
 func (r *request) useful() bool {
 	if r.result != "completed" {
 		return false
@@ -78,11 +80,12 @@
 	return reached.Sub(r.arrived) <= r.class.Useful
 }
 
-// wait is the time until the request was begun, or answered without.
+// wait returns the time until the request was first started, or until it was answered if
+// it was never started.
 func (r *request) wait(end time.Time) time.Duration {
 	switch {
-	case !r.begun.IsZero():
-		return r.begun.Sub(r.arrived)
+	case !r.started.IsZero():
+		return r.started.Sub(r.arrived)
 	case !r.ended.IsZero():
 		return r.ended.Sub(r.arrived)
 	default:
@@ -90,19 +93,19 @@
 	}
 }
 
-// Rows returns a row for each class, and one over all.
+// Rows returns one row per class and one row for all classes.
 func (s *Session) Rows() []Row {
-	s.findBegun()
-	works := s.works()
+	s.setStartTimes()
+	usage := s.usage()
 	violations := len(s.Violations())
-	best := s.bound()
+	bounds := s.goodputBounds()
 	byClass := make(map[string][]*request)
 	for _, r := range s.requests {
 		byClass[r.class.Name] = append(byClass[r.class.Name], r)
 	}
-	rows := []Row{s.row(All, s.requests, works, best[All])}
+	rows := []Row{s.row(All, s.requests, usage, bounds[All])}
 	for _, name := range sortedKeys(byClass) {
-		rows = append(rows, s.row(name, byClass[name], works, best[name]))
+		rows = append(rows, s.row(name, byClass[name], usage, bounds[name]))
 	}
 	for i := range rows {
 		rows[i].Violations = violations
@@ -111,20 +114,20 @@
 	return rows
 }
 
-// findBegun reads from the transcript when each request was first started.
-func (s *Session) findBegun() {
+// setStartTimes sets the time of the first start of each request from the transcript.
+func (s *Session) setStartTimes() {
 	for _, r := range s.records {
 		if r.Kind != engineStarted {
 			continue
 		}
 		req := s.requests[r.Request-1]
-		if req.begun.IsZero() {
-			req.begun = start.Add(r.At)
+		if req.started.IsZero() {
+			req.started = start.Add(r.At)
 		}
 	}
 }
 
-func (s *Session) row(class string, requests []*request, works map[int]work, best float64) Row {
+func (s *Session) row(class string, requests []*request, usage map[int]engineUsage, bound float64) Row {
 	row := Row{
 		Deployment: s.script.Deployment, Scenario: s.script.Name, Policy: s.policy.Name,
 		Class: class, Sent: len(requests),
@@ -134,13 +137,13 @@
 		row.Protected = c.Protected
 	}
 	var met, started, starts int
-	var onTime, wanted, made float64
+	var onTime, usefulTokens, producedTokens float64
 	for _, r := range requests {
-		w := works[r.id]
-		made += float64(w.tokens)
-		starts += w.starts
-		started += min(1, w.starts)
-		row.MaxWaitMS = max(row.MaxWaitMS, int(r.wait(s.world.now).Milliseconds()))
+		u := usage[r.id]
+		producedTokens += float64(u.tokens)
+		starts += u.starts
+		started += min(1, u.starts)
+		row.MaxWaitMS = max(row.MaxWaitMS, int(r.wait(s.clock.now).Milliseconds()))
 		switch r.result {
 		case "completed":
 			row.Completed++
@@ -156,12 +159,12 @@
 			onTime += float64(r.tokens)
 		}
 		if r.useful() {
-			wanted += float64(r.tokens)
+			usefulTokens += float64(r.tokens)
 		}
 	}
 	row.Attainment = ratio(float64(met), float64(len(requests)))
-	row.Goodput = ratio(onTime, best)
-	row.Wasted = round(1 - ratio(wanted, made))
+	row.Goodput = ratio(onTime, bound)
+	row.Wasted = round(1 - ratio(usefulTokens, producedTokens))
 	row.Fairness = s.fairness(requests)
 	row.Amplification = ratio(float64(starts), float64(started))
 	return row
@@ -179,31 +182,30 @@
 	return float64(int(f*digits+0.5)) / digits
 }
 
-// fairness is Jain's index over the organisations' useful tokens relative to
-// their entitlement: the class's useful tokens shared out by weight, none
-// getting more than it asked for. It is taken over the organisations that did
-// not get all they asked for; without one it is 1.
+// fairness returns Jain's index of the organisations' useful tokens relative to their
+// entitlements. An entitlement is the weighted max-min fair share of all useful tokens. The
+// index covers the organisations whose demand exceeds their entitlement; without any it is 1.
 func (s *Session) fairness(requests []*request) float64 {
-	asked := make(map[string]float64)
-	got := make(map[string]float64)
+	demand := make(map[string]float64)
+	received := make(map[string]float64)
 	weights := make(map[string]float64)
 	var total float64
 	for _, r := range requests {
 		name := r.organisation.Name
 		weights[name] = r.organisation.Weight
-		asked[name] += float64(r.tokens)
+		demand[name] += float64(r.tokens)
 		if r.useful() {
-			got[name] += float64(r.tokens)
+			received[name] += float64(r.tokens)
 			total += float64(r.tokens)
 		}
 	}
-	entitled := shareOut(total, asked, weights)
+	entitled := maxMinShares(total, demand, weights)
 	var sum, squares, n float64
-	for _, name := range sortedKeys(asked) {
-		if entitled[name] == 0 || asked[name] <= entitled[name]*1.0001 {
+	for _, name := range sortedKeys(demand) {
+		if entitled[name] == 0 || demand[name] <= entitled[name]*1.0001 {
 			continue
 		}
-		x := got[name] / entitled[name]
+		x := received[name] / entitled[name]
 		sum += x
 		squares += x * x
 		n++
@@ -214,32 +216,33 @@
 	return round(sum * sum / (n * squares))
 }
 
-// shareOut shares a total by weight, none getting more than it asked for.
-func shareOut(total float64, asked, weights map[string]float64) map[string]float64 {
+// maxMinShares divides a total by weighted max-min fairness: in proportion to the weights,
+// with no share above its demand.
+func maxMinShares(total float64, demand, weights map[string]float64) map[string]float64 {
 	entitled := make(map[string]float64)
-	open := sortedKeys(asked)
-	for len(open) > 0 && total > 0 {
+	unsatisfied := sortedKeys(demand)
+	for len(unsatisfied) > 0 && total > 0 {
 		var sum float64
-		for _, name := range open {
+		for _, name := range unsatisfied {
 			sum += weights[name]
 		}
 		var next []string
-		rest := total
-		for _, name := range open {
-			if asked[name] <= total*weights[name]/sum {
-				entitled[name] = asked[name]
-				rest -= asked[name]
+		remaining := total
+		for _, name := range unsatisfied {
+			if demand[name] <= total*weights[name]/sum {
+				entitled[name] = demand[name]
+				remaining -= demand[name]
 			} else {
 				next = append(next, name)
 			}
 		}
-		if len(next) == len(open) {
-			for _, name := range open {
+		if len(next) == len(unsatisfied) {
+			for _, name := range unsatisfied {
 				entitled[name] = total * weights[name] / sum
 			}
 			return entitled
 		}
-		open, total = next, rest
+		unsatisfied, total = next, remaining
 	}
 	return entitled
 }
--- a/internal/session/transcript.go
+++ b/internal/session/transcript.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// kind is what a record tells.
+// kind is the type of event that a record describes.
 type kind string
 
-// Kinds of record.
+// Kinds of records.
 const (
 	arrived       kind = "arrived"
 	offered       kind = "offered"
@@ -40,12 +40,12 @@
 	// Detail is a result or a reason.
 	Detail string
 	Tokens int
-	// Lower counts, at a refusal or a preemption, the runs of lower tiers
-	// that the agent could have stopped instead.
-	Lower int
+	// PreemptibleRuns is the number of runs of lower tiers that the agent could have
+	// preempted instead of refusing the request.
+	PreemptibleRuns int
 }
 
-// String returns the record as the golden files show it.
+// String formats the record as one line of the transcript.
 func (r record) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%9.3f %-11s", r.At.Seconds(), r.Kind)
@@ -63,12 +63,12 @@
 	return b.String()
 }
 
-func (s *Session) note(r record) {
-	r.At = s.world.elapsed()
+func (s *Session) addRecord(r record) {
+	r.At = s.clock.elapsed()
 	s.records = append(s.records, r)
 }
 
-// Transcript returns all records, a line each.
+// Transcript returns all records, one per line.
 func (s *Session) Transcript() string {
 	var b strings.Builder
 	for _, r := range s.records {
