--- a/internal/slopes/main.go
+++ b/internal/slopes/main.go
@@ -1,6 +1,6 @@
-// Command slopes measures how the control state of a process grows with the
-// fleet: at least four sizes of each, up to the size that is designed for, and
-// the slope between the smallest and the largest.
+// Command slopes measures how the control state of a process grows with the size of the
+// fleet. It measures each quantity at four or more sizes, up to the size that the system is
+// designed for, and prints the slope between the smallest and the largest.
 //
 // # Usage
 //
@@ -30,22 +30,22 @@
 	gladegaugev1 "github.com/gladegauge/gladegauge/internal/gen/gladegauge/v1"
 )
 
-// Sizes of the design.
+// Sizes that the system is designed for, and units.
 const (
-	fullModels  = 36
-	fullZones   = 7
-	entryShare  = 5 // One of so many processes is an entry.
-	milli       = 1e6
-	micro       = 1e3
-	mega        = 1 << 20
-	keysOfEach  = 1
-	classCount  = 60
-	classesEach = 5
+	maxModels           = 36
+	maxZones            = 7
+	processesPerEntry   = 5 // One in so many processes is an entry.
+	nanosPerMilli       = 1e6
+	nanosPerMicro       = 1e3
+	bytesPerMB          = 1 << 20
+	keysPerOrganisation = 1
+	classCount          = 60
+	classesPerPool      = 5
 )
 
-// row is one measured line.
+// row is one line of the output: a quantity that is measured at several sizes.
 type row struct {
-	what  string
+	label string
 	unit  string
 	sizes []int
 	value func(n int) float64
@@ -54,7 +54,7 @@
 func main() {
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	for _, r := range rows() {
-		_, _ = fmt.Fprintf(t, "%s\t%s\t", r.what, r.unit)
+		_, _ = fmt.Fprintf(t, "%s\t%s\t", r.label, r.unit)
 		var first, last float64
 		for i, n := range r.sizes {
 			v := r.value(n)
@@ -75,36 +75,36 @@
 	processes := []int{100, 500, 2000, 4300}
 	return []row{
 		{"configuration: heap", "MB", organisations, configHeap},
-		{"configuration: build from nothing", "ms", organisations, buildWhole},
-		{"configuration: apply one organisation's change", "ms", organisations, applyChange},
+		{"configuration: build from nothing", "ms", organisations, buildTime},
+		{"configuration: apply one organisation's change", "ms", organisations, applyTime},
 		{"configuration: bytes of one change", "B", organisations, changeBytes},
 		{"configuration: largest value", "B", organisations, largestValue},
 		{"host lists: heap", "MB", processes, listHeap},
 		{"host lists: bytes of one zone's list", "B", processes, listBytes},
-		{"entry: take a list into the table", "ms", processes, tableTake},
+		{"entry: take a list into the table", "ms", processes, tableUpdateTime},
 		{"entry: heap of the table", "MB", processes, tableHeap},
-		{"spread: choose peers once", "us", processes, choosePeers},
+		{"spread: choose peers once", "us", processes, choosePeersTime},
 		{"spread: hops from watchers to the last", "hops", processes, hops},
-		{"spread: bytes of an exchange, there and back", "B", []int{1, 3, 5, fullZones}, exchangeBytes},
+		{"spread: bytes of an exchange, there and back", "B", []int{1, 3, 5, maxZones}, exchangeBytes},
 		{"limits: heap of all buckets", "MB", organisations, limitHeap},
 		{"burn: heap, each organisation in 15 minutes", "MB", organisations, burnHeap},
 		{"request: control bytes with two offers", "B", []int{1, 2, 3, 4}, requestBytes},
-		{"request: control work at the entry", "us", processes, requestWork},
+		{"request: control work at the entry", "us", processes, requestTime},
 	}
 }
 
-// heapOf returns the megabytes that stay live after making something.
-func heapOf(make1 func() any) float64 {
+// liveHeap returns the heap size in megabytes of the value that a function constructs.
+func liveHeap(construct func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	held := make1()
+	value := construct()
 	runtime.GC()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	runtime.KeepAlive(held)
-	return (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / mega
+	runtime.KeepAlive(value)
+	return (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / bytesPerMB
 }
 
 func perOperation(f func(), unit float64) float64 {
@@ -121,23 +121,23 @@
 	for i := range classCount {
 		doc.Classes = append(doc.Classes, &gladegaugev1.Class{Name: fmt.Sprintf("class-%d", i), Tier: uint32(i%5 + 1), FirstTokenMs: 470})
 	}
-	for i := range fullModels {
+	for i := range maxModels {
 		p := &gladegaugev1.Pool{Name: fmt.Sprintf("pool-%d", i), Kind: gladegaugev1.PoolKind_POOL_KIND_MODEL, Model: fmt.Sprintf("model-%d", i), Slots: 64}
-		for j := range classesEach {
-			p.Classes = append(p.Classes, fmt.Sprintf("class-%d", (i*classesEach+j)%classCount))
+		for j := range classesPerPool {
+			p.Classes = append(p.Classes, fmt.Sprintf("class-%d", (i*classesPerPool+j)%classCount))
 		}
 		doc.Pools = append(doc.Pools, p)
 	}
 	for i := range n {
 		o := &gladegaugev1.Organisation{Name: fmt.Sprintf("organisation-%d", i), Weight: 1, RatePerSecond: 10}
-		for k := range keysOfEach {
+		for k := range keysPerOrganisation {
 			key := config.HashKey(fmt.Sprint(i, k))
 			o.KeySha256 = append(o.KeySha256, fmt.Sprintf("%x", key[:]))
 		}
 		for j := range 3 {
-			m := (i + j) % fullModels
+			m := (i + j) % maxModels
 			o.Defaults = append(o.Defaults, &gladegaugev1.DefaultClass{
-				Model: fmt.Sprintf("model-%d", m), Class: fmt.Sprintf("class-%d", (m*classesEach)%classCount),
+				Model: fmt.Sprintf("model-%d", m), Class: fmt.Sprintf("class-%d", (m*classesPerPool)%classCount),
 			})
 		}
 		doc.Organisations = append(doc.Organisations, o)
@@ -153,22 +153,22 @@
 	return cfg
 }
 
-// configHeap counts the values too, which a process keeps for its peers.
+// configHeap includes the encoded values, which a process keeps for its peers.
 func configHeap(n int) float64 {
-	return heapOf(func() any {
+	return liveHeap(func() any {
 		d := config.Split(document(n), 0)
 		return []any{mustBuild(nil, d), d}
 	})
 }
 
-func buildWhole(n int) float64 {
+func buildTime(n int) float64 {
 	d := config.Split(document(n), 0)
-	return perOperation(func() { mustBuild(nil, d) }, milli)
+	return perOperation(func() { mustBuild(nil, d) }, nanosPerMilli)
 }
 
-// oneChange returns a configuration and the document of its next revision with
-// only the shards that changed.
-func oneChange(n int) (*config.Config, config.Document) {
+// singleChange returns a configuration and the document of its next revision, which
+// contains only the shards that changed.
+func singleChange(n int) (*config.Config, config.Document) {
 	doc := document(n)
 	base := mustBuild(nil, config.Split(doc, 0))
 	doc.Revision = 2
@@ -181,13 +181,13 @@
 	return base, config.Document{Manifest: next.Manifest, Shards: shards}
 }
 
-func applyChange(n int) float64 {
-	base, d := oneChange(n)
-	return perOperation(func() { mustBuild(base, d) }, milli)
+func applyTime(n int) float64 {
+	base, d := singleChange(n)
+	return perOperation(func() { mustBuild(base, d) }, nanosPerMilli)
 }
 
 func changeBytes(n int) float64 {
-	_, d := oneChange(n)
+	_, d := singleChange(n)
 	sum := proto.Size(d.Manifest)
 	for _, value := range d.Shards {
 		sum += len(value)
@@ -206,36 +206,36 @@
 
 func zoneName(i int) string { return fmt.Sprintf("zone-%d", i) }
 
-// lists returns host lists of n processes over all zones and pools.
-func lists(n int) []*gladegaugev1.HostList {
-	all := make([]*gladegaugev1.HostList, fullZones)
+// hostLists returns host lists of n processes, distributed over all zones and pools.
+func hostLists(n int) []*gladegaugev1.HostList {
+	all := make([]*gladegaugev1.HostList, maxZones)
 	for i := range all {
 		all[i] = &gladegaugev1.HostList{Zone: zoneName(i), Version: 1}
 	}
 	for i := range n {
 		h := &gladegaugev1.Host{Id: fmt.Sprintf("process-%06d", i), Address: fmt.Sprintf("10.%d.%d.%d:7443", i>>16, i>>8&255, i&255)}
 		h.Role = gladegaugev1.Role_ROLE_AGENT
-		h.Pool = fmt.Sprintf("pool-%d", i%fullModels)
-		if i%entryShare == 0 {
+		h.Pool = fmt.Sprintf("pool-%d", i%maxModels)
+		if i%processesPerEntry == 0 {
 			h.Role, h.Pool = gladegaugev1.Role_ROLE_ENTRY, ""
 		}
-		list := all[i%fullZones]
+		list := all[i%maxZones]
 		list.Hosts = append(list.Hosts, h)
 	}
 	return all
 }
 
-func setOf(n int) *member.Set {
+func memberSet(n int) *member.Set {
 	set := member.NewSet()
-	for _, list := range lists(n) {
+	for _, list := range hostLists(n) {
 		set, _ = set.With(list)
 	}
 	return set
 }
 
-func listHeap(n int) float64 { return heapOf(func() any { return setOf(n) }) }
+func listHeap(n int) float64 { return liveHeap(func() any { return memberSet(n) }) }
 
-func listBytes(n int) float64 { return float64(proto.Size(lists(n)[0])) }
+func listBytes(n int) float64 { return float64(proto.Size(hostLists(n)[0])) }
 
 func newTable(set *member.Set) *route.Table {
 	t := route.New(route.Options{Entry: "process-000000", Zone: zoneName(0)}, rand.New(rand.NewPCG(1, 1))) //nolint:gosec // A fixed seed is the point.
@@ -243,51 +243,51 @@
 	return t
 }
 
-func tableTake(n int) float64 {
-	set := setOf(n)
+func tableUpdateTime(n int) float64 {
+	set := memberSet(n)
 	t := newTable(set)
-	return perOperation(func() { t.SetMembers(set) }, milli)
+	return perOperation(func() { t.SetMembers(set) }, nanosPerMilli)
 }
 
 func tableHeap(n int) float64 {
-	set := setOf(n)
-	return heapOf(func() any { return newTable(set) })
+	set := memberSet(n)
+	return liveHeap(func() any { return newTable(set) })
 }
 
-func choosePeers(n int) float64 {
-	set := setOf(n)
+func choosePeersTime(n int) float64 {
+	set := memberSet(n)
 	self, _ := set.Host("process-000000")
-	return perOperation(func() { spread.Peers(set, self) }, micro)
+	return perOperation(func() { spread.Peers(set, self) }, nanosPerMicro)
 }
 
-// hops walks the graph of peers from the watchers, who know of a change, to
-// the process that learns of it last.
+// hops returns the number of hops from the watchers, which learn of a change first, to the
+// process that learns of it last. It is a breadth-first search of the graph of peers.
 func hops(n int) float64 {
-	set := setOf(n)
-	at := make(map[string]int, n)
+	set := memberSet(n)
+	hopsTo := make(map[string]int, n)
 	var queue []member.Host
 	for _, h := range set.All() {
 		if spread.Watches(set, h) {
-			at[h.ID] = 0
+			hopsTo[h.ID] = 0
 			queue = append(queue, h)
 		}
 	}
-	most := 0
+	maxHops := 0
 	for len(queue) > 0 {
 		h := queue[0]
 		queue = queue[1:]
 		for _, peer := range spread.Peers(set, h) {
-			if _, known := at[peer.ID]; !known {
-				at[peer.ID] = at[h.ID] + 1
-				most = max(most, at[peer.ID])
+			if _, known := hopsTo[peer.ID]; !known {
+				hopsTo[peer.ID] = hopsTo[h.ID] + 1
+				maxHops = max(maxHops, hopsTo[peer.ID])
 				queue = append(queue, peer)
 			}
 		}
 	}
-	if len(at) < n {
-		_, _ = fmt.Fprintf(os.Stderr, "%d of %d are told by nobody and learn by asking\n", n-len(at), n)
+	if len(hopsTo) < n {
+		_, _ = fmt.Fprintf(os.Stderr, "%d of %d processes are notified by no peer and learn of changes by polling\n", n-len(hopsTo), n)
 	}
-	return float64(most)
+	return float64(maxHops)
 }
 
 func exchangeBytes(zones int) float64 {
@@ -307,7 +307,7 @@
 	cfg := mustBuild(nil, config.Split(document(n), 0))
 	all := cfg.Organisations()
 	now := time.Unix(1, 0)
-	heap := heapOf(func() any {
+	heap := liveHeap(func() any {
 		l := limit.New()
 		for _, o := range all {
 			l.Take(now, o, 1)
@@ -320,7 +320,7 @@
 }
 
 func burnHeap(n int) float64 {
-	return heapOf(func() any {
+	return liveHeap(func() any {
 		l := burn.NewLedger()
 		for minute := range 15 {
 			for i := range n {
@@ -332,8 +332,8 @@
 	})
 }
 
-// requestBytes is the size of the messages about one request that are not its
-// body or its answer, with offers to some agents.
+// requestBytes returns the size of the control messages of one request, without its body
+// and its response, for the given number of offers.
 func requestBytes(offers int) float64 {
 	load := convert.Load(agent.Load{FreeSlots: 9, Queued: 9, Wait: [5]time.Duration{1e9, 1e9, 1e9, 1e9, 1e9}}, version())
 	messages := []proto.Message{
@@ -348,17 +348,17 @@
 	}
 	sum := 0
 	for _, m := range messages {
-		const frame = 5 + 9 // Of the RPC and of HTTP/2.
+		const frame = 5 + 9 // Frame headers of the RPC and of HTTP/2.
 		sum += proto.Size(m) + frame
 	}
 	return float64(sum)
 }
 
-// requestWork is a request's whole way through the entry's control state.
-func requestWork(n int) float64 {
+// requestTime returns the time that the entry's control state spends on one request.
+func requestTime(n int) float64 {
 	cfg := mustBuild(nil, config.Split(document(6400), 0))
 	e := entry.New(entry.Options{Route: route.Options{Entry: "process-000000", Zone: zoneName(0)}}, cfg, rand.New(rand.NewPCG(1, 1))) //nolint:gosec // A fixed seed is the point.
-	e.SetMembers(setOf(n))
+	e.SetMembers(memberSet(n))
 	o, _ := cfg.Organisation("organisation-7")
 	pool, _ := cfg.Pool("pool-7")
 	class, _ := cfg.Class(pool.Classes[0])
@@ -378,5 +378,5 @@
 		t.Granted(now, 0, "")
 		t.Deliver(now, 0, 400)
 		t.Ended(0)
-	}, micro)
+	}, nanosPerMicro)
 }
