--- a/Makefile
+++ b/Makefile
@@ -11,8 +11,8 @@
 build:
 	go build -o bin/ ./cmd/...
 
-# The linter and buf do not share a module file with other tools: the first
-# needs modules that cannot be had, the second an unreleased protobuf.
+# The linter and buf are installed on their own instead of sharing a module file with other
+# tools: the linter needs modules that cannot be downloaded, buf an unreleased protobuf.
 $(LINT):
 	GOBIN=$(TOOLS) go install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@$(GOLANGCI_VERSION)
 	mv $(TOOLS)/golangci-lint $@
@@ -24,7 +24,7 @@
 lint: $(LINT)
 	$(LINT) run ./...
 
-# Tests that are known to fail, by the first word of their lines, are passed over.
+# The known failing tests are skipped: those whose names begin the lines of KNOWN-RED.txt.
 KNOWN_RED := $(shell sed -n 's/^\(Test[A-Za-z0-9_]*\).*/\1/p' KNOWN-RED.txt | paste -sd'|' -)
 
 test: lint
@@ -50,7 +50,8 @@
 slopes:
 	go run ./internal/slopes
 
-# Fresh seeds, beside those that ever broke a promise: make soak SEEDS=50 FIRST=1000
+# Runs new seeds in addition to those that have ever violated a guarantee. Example:
+# make soak SEEDS=50 FIRST=1000
 SEEDS ?= 20
 FIRST ?= $(shell date +%s)
 soak:
