--- a/internal/edge/gatewayd/apply.go
+++ b/internal/edge/gatewayd/apply.go
@@ -71,7 +71,7 @@
 // evacuated. It runs in the control goroutine.
 func (s *Server) replaceRoster(now time.Time, c platform.Changes) {
 	before := s.roster.Evacuated()
-	s.roster.Drop(c.Unfit)
+	s.roster.Drop(c.Invalid)
 	s.roster.Replace(now, c.Changed)
 	s.roster.ReplaceEvacuated(c.Evacuated)
 	s.logEvacuated(before)
@@ -82,12 +82,12 @@
 // evacuation began or ended. It runs in the control goroutine.
 func (s *Server) changeRoster(now time.Time, c platform.Changes) {
 	before := s.roster.Evacuated()
-	s.roster.Drop(c.Unfit)
+	s.roster.Drop(c.Invalid)
 	s.roster.Change(now, c.Changed, c.Removed)
 	for _, zone := range c.Evacuated {
 		s.roster.Evacuate(zone)
 	}
-	for _, zone := range c.TakenBack {
+	for _, zone := range c.EvacuationEnded {
 		s.roster.EndEvacuation(zone)
 	}
 	s.logEvacuated(before)
--- a/internal/edge/gatewayd/forward.go
+++ b/internal/edge/gatewayd/forward.go
@@ -15,14 +15,14 @@
 	f := platform.Forward{
 		Upstream:     choice.ID,
 		Organisation: x.organisation(),
-		Left:         x.admission.Deadline.Sub(now),
+		Remaining:    x.admission.Deadline.Sub(now),
 		Urgency:      x.admission.Urgency,
 		LastEvent:    x.lastEvent,
 		FetchFrom:    choice.FetchFrom,
 		BackupAt:     choice.Backup.Address,
 	}
 	if x.continuing {
-		f.ContinueAt = choice.Address
+		f.ContinueFrom = choice.Address
 	}
 	req := &http.Request{
 		Method: x.r.Method,
--- a/internal/edge/gatewayd/restore.go
+++ b/internal/edge/gatewayd/restore.go
@@ -46,8 +46,8 @@
 		s.written = written{} // It may have been written anew since it was read here.
 	}
 	evacuated := s.roster.Evacuated()
-	s.roster.Drop(c.Unfit)
-	s.roster.Restore(now, roster.StoreRestore{After: after, EntryTTL: s.o.Settings.LapseWithin()}, c.Changed, c.Evacuated)
+	s.roster.Drop(c.Invalid)
+	s.roster.Restore(now, roster.StoreRestore{After: after, EntryTTL: s.o.Settings.StoreEntryTTL()}, c.Changed, c.Evacuated)
 	s.logEvacuated(evacuated)
 	s.applyRoster(now)
 	s.log.Warn().Int64("epoch", p.Epoch).Int64("revision", p.Revision).Int64("epoch_before", before.Epoch).Int64("revision_before", before.Revision).
