--- a/Makefile
+++ b/Makefile
@@ -1,10 +1,12 @@
 GOLANGCI_VERSION := v2.15.0
 BUF_VERSION := v1.75.0
+GOPLS_VERSION := v0.23.0
 TOOLS := $(CURDIR)/.tools
 LINT := $(TOOLS)/golangci-lint-$(GOLANGCI_VERSION)
 BUF := $(TOOLS)/buf-$(BUF_VERSION)
+GOPLS := $(TOOLS)/gopls-$(GOPLS_VERSION)
 
-.PHONY: all build test lint golden demo up bench measure slopes soak generate clean
+.PHONY: all build tools test lint golden demo up bench measure slopes soak generate clean
 
 all: build
 
@@ -21,6 +23,12 @@
 	GOBIN=$(TOOLS) go install github.com/bufbuild/buf/cmd/buf@$(BUF_VERSION)
 	mv $(TOOLS)/buf $@
 
+$(GOPLS):
+	GOBIN=$(TOOLS) go install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+	mv $(TOOLS)/gopls $@
+
+tools: $(LINT) $(BUF) $(GOPLS)
+
 lint: $(LINT)
 	$(LINT) run ./...
 
