--- a/cmd/gladegauge-entry/main.go
+++ b/cmd/gladegauge-entry/main.go
@@ -21,8 +21,8 @@
 const (
 	defaultMaxBody    = 4 << 20
 	defaultDrainGrace = 2 * time.Second
-	// defaultReadPatience tolerates a short stall of a caller's network.
-	defaultReadPatience = 30 * time.Second
+	// defaultReadTimeout tolerates a short stall of a caller's network.
+	defaultReadTimeout = 30 * time.Second
 )
 
 func main() {
@@ -41,7 +41,7 @@
 			s.String(&o.CallerCert, "caller-tls-cert", "", "certificate file towards callers; empty for plain HTTP behind a balancer", settings.File)
 			s.String(&o.CallerKey, "caller-tls-key", "", "private key file towards callers", settings.File)
 			s.Int(&o.MaxBody, "max-body-bytes", defaultMaxBody, "largest body of a caller's request")
-			s.Duration(&o.ReadPatience, "read-patience", defaultReadPatience, "longest time that a caller may take to read a piece of its answer")
+			s.Duration(&o.ReadTimeout, "read-patience", defaultReadTimeout, "longest time that a caller may take to read a piece of its answer")
 			s.Duration(&o.DrainGrace, "drain-grace", defaultDrainGrace, "time between unready and the end of listening at a planned stop")
 		},
 		Check: func() config.Faults { return check(o) },
@@ -62,7 +62,7 @@
 	if (o.CallerCert == "") != (o.CallerKey == "") {
 		f.Add("-caller-tls-cert", "must be set together with -caller-tls-key")
 	}
-	if o.ReadPatience <= 0 {
+	if o.ReadTimeout <= 0 {
 		f.Add("-read-patience", "must be above 0")
 	}
 	if o.MaxBody < 1 {
--- a/internal/core/agent/agent_test.go
+++ b/internal/core/agent/agent_test.go
@@ -98,7 +98,7 @@
 }
 
 func rests(d time.Duration) func(*Agent, time.Time) []Effect {
-	return func(a *Agent, now time.Time) []Effect { return a.Rest(now, d) }
+	return func(a *Agent, now time.Time) []Effect { return a.Backoff(now, d) }
 }
 
 func ticks(a *Agent, now time.Time) []Effect { return a.Tick(now) }
--- a/internal/core/agent/lifecycle.go
+++ b/internal/core/agent/lifecycle.go
@@ -34,13 +34,13 @@
 	return a.schedule(now)
 }
 
-// Rest starts a backoff of the given duration after the upstream refused a request.
+// Backoff starts a backoff of the given duration after the upstream refused a request.
 // Runs continue; waiting and new requests are refused as not run, with the remaining
 // backoff as the retry delay. Without the backoff, the agent would send the next
 // request to the refusing upstream at once.
-func (a *Agent) Rest(now time.Time, d time.Duration) []Effect {
+func (a *Agent) Backoff(now time.Time, d time.Duration) []Effect {
 	before := a.notices.BackoffUntil()
-	a.notices = a.notices.With(now, notice.Notice{Rest: d})
+	a.notices = a.notices.With(now, notice.Notice{Backoff: d})
 	if !a.notices.BackoffUntil().After(before) {
 		return nil
 	}
--- a/internal/core/balance/alone_test.go
+++ b/internal/core/balance/alone_test.go
@@ -21,7 +21,7 @@
 	for range 4 {
 		c, ok := table.Pick(now, Request{Pool: "p", Prompt: shared})
 		is.True(ok)
-		table.Began(now, c)
+		table.ResponseStarted(now, c)
 		if c.ID == "idle" {
 			table.Ended(now, c, Completed, Answer{})
 		}
@@ -50,7 +50,7 @@
 // Two incarnations with the same ID have different keys.
 func TestIncarnation(t *testing.T) {
 	is := is.New(t)
-	is.Equal(Instance{ID: "a", Born: 1}.Start(), Instance{ID: "a", Born: 1, Leaving: true}.Start())
-	is.True(Instance{ID: "a", Born: 1}.Start() != Instance{ID: "a", Born: 2}.Start())
-	is.True(Instance{ID: "a", Born: 1}.Start() != Instance{ID: "b", Born: 1}.Start())
+	is.Equal(Instance{ID: "a", Born: 1}.IncarnationKey(), Instance{ID: "a", Born: 1, Leaving: true}.IncarnationKey())
+	is.True(Instance{ID: "a", Born: 1}.IncarnationKey() != Instance{ID: "a", Born: 2}.IncarnationKey())
+	is.True(Instance{ID: "a", Born: 1}.IncarnationKey() != Instance{ID: "b", Born: 1}.IncarnationKey())
 }
--- a/internal/core/balance/balance_test.go
+++ b/internal/core/balance/balance_test.go
@@ -30,7 +30,7 @@
 	t.Helper()
 	table := tableWith(n)
 	route := func(name string, pause time.Duration) *ingress.Route {
-		return &ingress.Route{Name: name, Prefix: "/" + name + "/", Kind: ingress.Stream, PauseTarget: pause, Timeout: time.Second, MaxAttempts: 1, Shares: []ingress.Share{{Pool: "p", Weight: 1}}}
+		return &ingress.Route{Name: name, Prefix: "/" + name + "/", Kind: ingress.Stream, EventGapTarget: pause, Timeout: time.Second, MaxAttempts: 1, Shares: []ingress.Share{{Pool: "p", Weight: 1}}}
 	}
 	routes := []*ingress.Route{route("chat", 250*time.Millisecond), route("long", time.Second)}
 	cfg, faults := ingress.New(1, routes, []ingress.Pool{{Name: "p", Engine: &ingress.Engine{Slots: 8, MemoryTokens: 100_000, EventTokens: 5}}}, nil, ingress.Limits{})
@@ -83,19 +83,19 @@
 	c := newCache(20_000) // the model covers half of it
 	p := prompt(1, 1)
 	keys := p.chain()
-	is.Equal(c.kept(t0, p, keys), 0)
+	is.Equal(c.cachedTokens(t0, p, keys), 0)
 	c.record(t0, p, keys, true)
-	is.Equal(c.kept(t0, p, keys), 9000)
+	is.Equal(c.cachedTokens(t0, p, keys), 9000)
 	same := prompt(1, 2)
-	is.Equal(c.kept(t0, same, same.chain()), 6000)
+	is.Equal(c.cachedTokens(t0, same, same.chain()), 6000)
 	other := prompt(2, 3)
-	is.Equal(c.kept(t0, other, other.chain()), 2000)
+	is.Equal(c.cachedTokens(t0, other, other.chain()), 2000)
 	c.record(at(1), other, other.chain(), true)
 	is.True(c.tokens <= 10_000) // the oldest parts were evicted
-	is.Equal(c.kept(t0.Add(cacheTTL+time.Second), other, other.chain()), 0)
+	is.Equal(c.cachedTokens(t0.Add(cacheTTL+time.Second), other, other.chain()), 0)
 	// The same part after another prefix is a different one.
 	moved := Prompt{Model: 1, Tokens: 4000, Parts: other.Parts[1:2]}
-	is.Equal(c.kept(at(2), moved, moved.chain()), 0)
+	is.Equal(c.cachedTokens(at(2), moved, moved.chain()), 0)
 }
 
 func plainRequest(hash int) Request { return Request{Pool: "p", Route: "r", Hash: uint64(hash)} }
--- a/internal/core/balance/bench_test.go
+++ b/internal/core/balance/bench_test.go
@@ -18,7 +18,7 @@
 			loads := make(occupancy.Loads)
 			for i := range list {
 				list[i] = Instance{ID: fmt.Sprintf("i-%d", i), Address: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Zone: "a", Pool: "p", Slots: 64}
-				loads[list[i].Start()] = occupancy.Load{Requests: 3, Served: 2}
+				loads[list[i].IncarnationKey()] = occupancy.Load{Requests: 3, Served: 2}
 			}
 			table.SetInstances(t0, list)
 			table.SetPeerLoads(t0, peerLoadsOf(loads))
--- a/internal/core/balance/busy_test.go
+++ b/internal/core/balance/busy_test.go
@@ -34,7 +34,7 @@
 			for i := range 8 {
 				in := Instance{ID: fmt.Sprint("i-", i), Address: fmt.Sprint("a-", i), Pool: "p", Slots: 6}
 				list = append(list, in)
-				loads[in.Start()] = tt.load
+				loads[in.IncarnationKey()] = tt.load
 			}
 			table.SetInstances(t0, list)
 			if tt.engines {
@@ -42,7 +42,7 @@
 			}
 			is.True(!table.Busy(t0))
 			now := t0.Add(time.Second)
-			table.SetPeerLoads(now, PeerLoads{Loads: loads, Age: 100 * time.Millisecond, Keep: time.Second, Gateways: 40})
+			table.SetPeerLoads(now, PeerLoads{Loads: loads, Age: 100 * time.Millisecond, TTL: time.Second, Gateways: 40})
 			is.Equal(table.Busy(now.Add(time.Millisecond)), tt.busy)
 		})
 	}
--- a/internal/core/balance/cache_test.go
+++ b/internal/core/balance/cache_test.go
@@ -30,7 +30,7 @@
 				parts := make([]occupancy.Part, perSecond)
 				for i := range parts {
 					n := uint64(s*perSecond + i)
-					parts[i] = occupancy.Part{Upstream: list[n%uint64(engines)].Start(), Key: n, Tokens: 100, Read: true}
+					parts[i] = occupancy.Part{Upstream: list[n%uint64(engines)].IncarnationKey(), Key: n, Tokens: 100, Read: true}
 				}
 				table.AddPeerParts(now, parts)
 				table.ExpireParts(now)
--- a/internal/core/balance/cold.go
+++ b/internal/core/balance/cold.go
@@ -33,9 +33,9 @@
 // coldSplitOf computes the split of a pool.
 func (t *Table) coldSplitOf(c ingress.Cold) coldSplit {
 	b := warmup.Bounds{
-		PerSecond: c.PerSecond,
-		Most:      max(1, t.coldLimits.Overrun)*c.PerSecond + t.coldLimits.Slack,
-		For:       c.For,
+		PerSecond:   c.PerSecond,
+		MaxRequests: max(1, t.coldLimits.Overrun)*c.PerSecond + t.coldLimits.Slack,
+		Period:      c.Period,
 	}
 	return coldSplit{Bounds: b, split: warmup.NewSplit(b)}
 }
@@ -50,7 +50,7 @@
 	before := u.warmup.Cold(now)
 	u.warmup = u.warmup.With(in.ColdUntil)
 	if u.Evacuated && !in.Evacuated {
-		u.warmup = u.warmup.With(now.Add(t.pool(in.Pool).cold.For))
+		u.warmup = u.warmup.With(now.Add(t.pool(in.Pool).cold.Period))
 	}
 	return !before && u.warmup.Cold(now)
 }
--- a/internal/core/balance/cold_test.go
+++ b/internal/core/balance/cold_test.go
@@ -14,7 +14,7 @@
 func coldConfig(t *testing.T) *ingress.Table {
 	t.Helper()
 	route := &ingress.Route{Name: "r", Prefix: "/r/", Kind: ingress.Repeatable, Timeout: time.Second, MaxAttempts: 2, Shares: []ingress.Share{{Pool: "p", Weight: 1}}}
-	pool := ingress.Pool{Name: "p", Cold: ingress.Cold{For: 3 * time.Second, PerSecond: 10}}
+	pool := ingress.Pool{Name: "p", Cold: ingress.Cold{Period: 3 * time.Second, PerSecond: 10}}
 	cfg, faults := ingress.New(1, []*ingress.Route{route}, []ingress.Pool{pool}, nil, ingress.Limits{})
 	if len(faults) > 0 {
 		t.Fatal(faults)
--- a/internal/core/balance/doc.go
+++ b/internal/core/balance/doc.go
@@ -40,6 +40,6 @@
 //		refuse(c.RetryAfter)
 //	}
 //	// c.FetchFrom and c.Backup name the engines of its copies
-//	t.Began(now, c) // the response head or the first event arrived
+//	t.ResponseStarted(now, c) // the response head or the first event arrived
 //	t.Ended(now, c, balance.Completed, tokens)
 package balance
--- a/internal/core/balance/fetch.go
+++ b/internal/core/balance/fetch.go
@@ -57,12 +57,12 @@
 	}
 	shared := prompt.shared()
 	for _, u := range candidates {
-		consider(u, u.cache.keptAndRead(now, prompt, keys[:len(shared)]))
+		consider(u, u.cache.prefilledTokens(now, prompt, keys[:len(shared)]))
 	}
 	tokens := 0
 	for i, part := range shared {
 		tokens += part.Tokens
-		consider(homeOfKey(candidates, keys[i]), int(homeKeptShare*float64(tokens)))
+		consider(homeOfKey(candidates, keys[i]), int(homeCachedShare*float64(tokens)))
 	}
 	return best
 }
--- a/internal/core/balance/fetch_test.go
+++ b/internal/core/balance/fetch_test.go
@@ -74,7 +74,7 @@
 			hinted++
 		}
 		is.True(c.FetchFrom != c.Address)
-		fresh.Began(at(50), c)
+		fresh.ResponseStarted(at(50), c)
 		fresh.Ended(at(60), c, Completed, Answer{Tokens: 10})
 		again, _ := fresh.Pick(at(80), Request{Pool: "p", Route: "r", Prompt: prompt(subject, 2)})
 		is.Equal(again.ID, c.ID)
--- a/internal/core/balance/gap_targets.go
+++ b/internal/core/balance/gap_targets.go
@@ -28,7 +28,7 @@
 func (p *gapTargets) isTight(target time.Duration) bool { return target > 0 && target <= p.tightLimit }
 
 // set derives the values from the gap targets of the pool's routes, shortest first.
-func (p *gapTargets) set(list []ingress.Pause) {
+func (p *gapTargets) set(list []ingress.GapTarget) {
 	*p = gapTargets{}
 	if len(list) == 0 {
 		return
--- a/internal/core/balance/gap_targets_test.go
+++ b/internal/core/balance/gap_targets_test.go
@@ -46,7 +46,7 @@
 				table.SetPeerLoads(now, peerLoadsOf(loads))
 				c, ok := table.Pick(now, long(i))
 				is.True(ok)
-				table.Began(at(20*i+15), c)
+				table.ResponseStarted(at(20*i+15), c)
 				table.Ended(at(20*i+16), c, Completed, Answer{Tokens: 50})
 				if tight[c.ID] {
 					beside++
@@ -69,14 +69,14 @@
 func TestGapTargets(t *testing.T) {
 	tests := []struct {
 		name       string
-		targets    []ingress.Pause
+		targets    []ingress.GapTarget
 		tightLimit time.Duration
 		tier       int
 	}{
 		{"no streams", nil, 0, 0},
-		{"one target", []ingress.Pause{{Target: time.Second}}, 0, 0},
-		{"alike", []ingress.Pause{{Target: time.Second}, {Target: 1200 * time.Millisecond}}, 0, 0},
-		{"unlike", []ingress.Pause{{Target: time.Second, Tier: 3}, {Target: 1100 * time.Millisecond, Tier: 2}, {Target: 2 * time.Second, Tier: 1}}, 1300 * time.Millisecond, 2},
+		{"one target", []ingress.GapTarget{{Target: time.Second}}, 0, 0},
+		{"alike", []ingress.GapTarget{{Target: time.Second}, {Target: 1200 * time.Millisecond}}, 0, 0},
+		{"unlike", []ingress.GapTarget{{Target: time.Second, Tier: 3}, {Target: 1100 * time.Millisecond, Tier: 2}, {Target: 2 * time.Second, Tier: 1}}, 1300 * time.Millisecond, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/core/balance/gaps_test.go
+++ b/internal/core/balance/gaps_test.go
@@ -64,11 +64,11 @@
 			table := enginesWith(t, 3)
 			p := table.pools["p"]
 			for _, u := range p.members[1:] {
-				table.Heard(t0, u.ID, gapsOf(20, 20, 20))
+				table.DataReceived(t0, u.ID, gapsOf(20, 20, 20))
 			}
 			u := p.members[0]
 			for _, g := range tt.gaps {
-				table.Heard(t0, u.ID, g)
+				table.DataReceived(t0, u.ID, g)
 			}
 			near := func(got, want float64) bool { return got > want-0.001 && got < want+0.001 }
 			is.True(near(u.slowness(at(1), p.medianGaps(at(1)), false), tt.slow))
@@ -89,7 +89,7 @@
 		if u.ID == slow.ID {
 			gaps = gapsOf(200, 200, 200)
 		}
-		a.Heard(at(1), u.ID, gaps)
+		a.DataReceived(at(1), u.ID, gaps)
 	}
 	b.SetPeerLoads(at(2), peerLoadsOf(a.Loads(at(2))))
 	for i := range 10 {
@@ -110,6 +110,6 @@
 	table.SetPeerLoads(at(1000), peerLoadsOf(occupancy.Loads{u.hash: {Overdue: 1, OverdueMs: 1e12}}))
 	is.Equal(u.meanOverdue(at(1000)), (late+maxOverdueMs)/2) // the contribution of a report is bounded
 	table.SetPeerLoads(at(1000), peerLoadsOf(nil))
-	table.Began(at(1001), c)
+	table.ResponseStarted(at(1001), c)
 	is.Equal(u.meanOverdue(at(1001)), 0.0)
 }
--- a/internal/core/balance/gone.go
+++ b/internal/core/balance/gone.go
@@ -26,7 +26,7 @@
 // MarkGone records that the gateway found that this incarnation of the upstream has
 // ended.
 func (t *Table) MarkGone(now time.Time, in Instance) {
-	if u, ok := t.upstreams[in.ID]; ok && u.incarnation == in.Start() {
+	if u, ok := t.upstreams[in.ID]; ok && u.incarnation == in.IncarnationKey() {
 		u.goneUntil = now.Add(goneTTL)
 	}
 }
@@ -35,7 +35,7 @@
 // has ended.
 func (t *Table) IsGone(now time.Time, in Instance) bool {
 	u, ok := t.upstreams[in.ID]
-	return ok && u.incarnation == in.Start() && u.gone(now)
+	return ok && u.incarnation == in.IncarnationKey() && u.gone(now)
 }
 
 // EndExpected reports whether the end of the upstream is expected: it announced that it
@@ -48,24 +48,24 @@
 // peersFoundGone reports whether enough other gateways found the upstream gone, and it
 // has sent nothing to this one since.
 func (u *upstream) peersFoundGone(now time.Time) bool {
-	return u.peerLoad.Gone >= goneQuorum && u.hasPeerLoad(now) && now.Sub(u.lastHeardAt) > peerGoneGrace
+	return u.peerLoad.Gone >= goneQuorum && u.hasPeerLoad(now) && now.Sub(u.lastReceivedAt) > peerGoneGrace
 }
 
 // peersFoundClosed reports whether the upstream told enough other gateways that it leaves
 // or needs a backoff, and it has sent nothing to this one since.
 func (u *upstream) peersFoundClosed(now time.Time) bool {
-	return u.peerLoad.Closed >= goneQuorum && u.hasPeerLoad(now) && now.Sub(u.lastHeardAt) > peerGoneGrace && !u.notices.Restricted(now)
+	return u.peerLoad.Closed >= goneQuorum && u.hasPeerLoad(now) && now.Sub(u.lastReceivedAt) > peerGoneGrace && !u.notices.Restricted(now)
 }
 
-// peersAvoid reports whether the upstream is to be tried last because of reports or votes
+// avoidedByPeers reports whether the upstream is to be tried last because of reports or votes
 // of other gateways.
-func (u *upstream) peersAvoid(now time.Time) bool {
+func (u *upstream) avoidedByPeers(now time.Time) bool {
 	return u.peersFoundGone(now) || u.peersFoundClosed(now) || u.health.Demoted(now)
 }
 
-// trustsPeers reports whether this gateway may act on reports that upstreams are gone or
+// acceptsPeerReports reports whether this gateway may act on reports that upstreams are gone or
 // closed and on votes against them: enough of the pool must remain.
-func (p *pool) trustsPeers(now time.Time) bool {
+func (p *pool) acceptsPeerReports(now time.Time) bool {
 	n, present := 0, 0.0
 	capacity := p.capacities()
 	for _, u := range p.members {
@@ -73,7 +73,7 @@
 			continue
 		}
 		present += capacity(u)
-		if u.peersAvoid(now) || u.health.OnTrial(now) {
+		if u.avoidedByPeers(now) || u.health.OnTrial(now) {
 			n++
 		}
 	}
--- a/internal/core/balance/gone_test.go
+++ b/internal/core/balance/gone_test.go
@@ -38,11 +38,11 @@
 		name string
 		// gone is the number of gateways that found each of four upstreams gone.
 		gone [4]int
-		// heard is how long ago the first upstream answered, in milliseconds; 0 for
+		// received is how long ago the first upstream answered, in milliseconds; 0 for
 		// never.
-		heard int
-		later time.Duration
-		used  int
+		received int
+		later    time.Duration
+		used     int
 	}{
 		{"no reports", [4]int{}, 0, 0, 4},
 		{"one gateway", [4]int{1, 0, 0, 0}, 0, 0, 4},
@@ -63,8 +63,8 @@
 				if tt.gone[i] > 0 {
 					loads[u.hash] = occupancy.Load{Gone: tt.gone[i]}
 				}
-				if i == 0 && tt.heard > 0 {
-					u.heard(at(-tt.heard))
+				if i == 0 && tt.received > 0 {
+					u.received(at(-tt.received))
 				}
 			}
 			table.SetPeerLoads(t0, peerLoadsOf(loads))
--- a/internal/core/balance/hanging.go
+++ b/internal/core/balance/hanging.go
@@ -22,29 +22,29 @@
 	Waited time.Duration
 }
 
-// noteHanging updates the hanging prompts of this gateway at the upstream, and returns
+// recordHanging updates the hanging prompts of this gateway at the upstream, and returns
 // those that newly count as hanging.
-func (p *pool) noteHanging(now time.Time, u *upstream) []Hanging {
+func (p *pool) recordHanging(now time.Time, u *upstream) []Hanging {
 	var out []Hanging
 	for _, r := range u.running {
-		if p.noteIfHanging(now, u, r) {
+		if p.recordIfHanging(now, u, r) {
 			out = append(out, Hanging{ID: u.ID, Waited: now.Sub(r.sentAt)})
 		}
 	}
 	return out
 }
 
-// noteIfHanging records a hanging prompt, and reports whether it newly counts as a
+// recordIfHanging records a hanging prompt, and reports whether it newly counts as a
 // failure.
-func (p *pool) noteIfHanging(now time.Time, u *upstream, r *run) bool {
+func (p *pool) recordIfHanging(now time.Time, u *upstream, r *run) bool {
 	if r.tokens == 0 || r.started || r.overdue(now) < hangThresholdMs || u.reportedFull(now) || p.isFull(now, u, 0) {
 		return false
 	}
-	if r.hung {
+	if r.countedHanging {
 		u.health = u.health.WithHanging(now)
 		return false
 	}
-	r.hung = true
+	r.countedHanging = true
 	next, counts := u.health.WithHang(now, r.sentAt)
 	u.health = next
 	return counts
--- a/internal/core/balance/hanging_test.go
+++ b/internal/core/balance/hanging_test.go
@@ -23,11 +23,11 @@
 	}
 	look := func(table *Table, _ Choice, now time.Time) { table.SetPeerLoads(now, peerLoadsOf(nil)) }
 	leaves := func(table *Table, c Choice, now time.Time) { table.Ended(now, c, Abandoned, Answer{}) }
-	begins := func(table *Table, c Choice, now time.Time) { table.Began(now, c) }
+	begins := func(table *Table, c Choice, now time.Time) { table.ResponseStarted(now, c) }
 	ends := func(table *Table, c Choice, now time.Time) { table.Ended(now, c, Completed, Answer{}) }
 	another := func(table *Table, _ Choice, now time.Time) {
 		c, _ := table.Pick(now, chat(2))
-		table.Began(now, c)
+		table.ResponseStarted(now, c)
 	}
 	says := func(l Load) func(table *Table, c Choice, now time.Time) {
 		return func(table *Table, _ Choice, now time.Time) { table.SetLoad(now, "i-0", l) }
@@ -107,7 +107,7 @@
 	is := is.New(t)
 	table := enginesWith(t, 1)
 	old, _ := table.Pick(t0, chat(1))
-	table.Began(at(10), old)
+	table.ResponseStarted(at(10), old)
 	failed, _ := table.Pick(at(100), chat(2))
 	table.Ended(at(110), failed, Faulty, Answer{})
 	table.Ended(at(200), old, Completed, Answer{})
@@ -115,7 +115,7 @@
 	is.Equal(u.health.Failures(), 1)
 	is.Equal(table.Loads(at(210))[u.incarnation].Failing, 1)
 	fresh, _ := table.Pick(at(300), chat(3))
-	table.Began(at(310), fresh)
+	table.ResponseStarted(at(310), fresh)
 	table.Ended(at(320), fresh, Completed, Answer{})
 	is.Equal(u.health.Failures(), 0)
 	is.Equal(table.Loads(at(330))[u.incarnation].Served, 1)
--- a/internal/core/balance/health.go
+++ b/internal/core/balance/health.go
@@ -26,9 +26,9 @@
 	maxEjectedShare = 0.5
 )
 
-// noteRefusal skips the upstream for a while. Otherwise an upstream that refuses requests
+// recordRefusal skips the upstream for a while. Otherwise an upstream that refuses requests
 // looks idle and attracts those of its pool.
-func (t *Table) noteRefusal(now time.Time, u *upstream, r *run, reported *Load) {
+func (t *Table) recordRefusal(now time.Time, u *upstream, r *run, reported *Load) {
 	p := t.pool(u.Pool)
 	next, d := u.health.WithRefusal(now, reported.isFull() || p.refusalJustified(now, u, r))
 	u.health = next
--- a/internal/core/balance/home.go
+++ b/internal/core/balance/home.go
@@ -6,9 +6,9 @@
 	"github.com/gladegauge/gladegauge/internal/core/rendezvous"
 )
 
-// homeKeptShare is the fraction of the shared prompt that its home is assumed to have
+// homeCachedShare is the fraction of the shared prompt that its home is assumed to have
 // cached if this gateway itself has not sent the prompt there.
-const homeKeptShare = 0.8
+const homeCachedShare = 0.8
 
 // homeOf returns the upstream to which all gateways send the deepest shared part.
 func homeOf(candidates []*upstream, p Prompt, keys []uint64) *upstream {
@@ -33,13 +33,13 @@
 
 // unreadTokens is the number of prompt tokens that the engine would have to prefill.
 func unreadTokens(now time.Time, u *upstream, p Prompt, keys []uint64, home bool) int {
-	kept := u.cache.kept(now, p, keys)
+	cachedTokens := u.cache.cachedTokens(now, p, keys)
 	if home {
 		shared := 0
 		for _, part := range p.shared() {
 			shared += part.Tokens
 		}
-		kept = max(kept, int(homeKeptShare*float64(shared)))
+		cachedTokens = max(cachedTokens, int(homeCachedShare*float64(shared)))
 	}
-	return max(0, p.Tokens-kept)
+	return max(0, p.Tokens-cachedTokens)
 }
--- a/internal/core/balance/lend.go
+++ b/internal/core/balance/lend.go
@@ -9,8 +9,8 @@
 // its upstreams. They would refuse requests while holders have turns left. A gateway
 // without an upstream for a request therefore asks a holder for a turn.
 
-// maxBorrowAsks is the maximum number of upstreams for which a request asks for a turn.
-const maxBorrowAsks = 4
+// maxBorrowRequests is the maximum number of upstreams for which a request asks for a turn.
+const maxBorrowRequests = 4
 
 // BorrowCandidate is an upstream for which a gateway may ask a holder for a turn.
 type BorrowCandidate struct {
@@ -28,17 +28,17 @@
 	if !ok {
 		return nil
 	}
-	var loans []BorrowCandidate
+	var candidates []BorrowCandidate
 	for _, u := range p.members {
 		if t.mayBorrow(now, p, u, r) {
-			loans = append(loans, BorrowCandidate{Instance: u.Instance, Key: u.hash, Holders: u.limit.split.Holders})
+			candidates = append(candidates, BorrowCandidate{Instance: u.Instance, Key: u.hash, Holders: u.limit.split.Holders})
 		}
 	}
-	if n := len(loans); n > 0 {
+	if n := len(candidates); n > 0 {
 		first := int(r.Hash % uint64(n))
-		loans = slices.Concat(loans[first:], loans[:first])
+		candidates = slices.Concat(candidates[first:], candidates[:first])
 	}
-	return loans[:min(len(loans), maxBorrowAsks)]
+	return candidates[:min(len(candidates), maxBorrowRequests)]
 }
 
 // mayBorrow reports whether only the lack of a turn keeps the request from the upstream,
@@ -47,7 +47,7 @@
 	if !u.limit.Announced || now.Before(u.limit.borrowAgainAt) || slices.Contains(r.Exclude, u.ID) {
 		return false
 	}
-	return u.present(now) && !u.gone(now) && !u.atSlowStartLimit(now) && !u.ejected(now) && !u.peersAvoid(now) && !p.isCold(now, u)
+	return u.present(now) && !u.gone(now) && !u.atSlowStartLimit(now) && !u.ejected(now) && !u.avoidedByPeers(now) && !p.isCold(now, u)
 }
 
 // Lend takes a turn of the upstream on behalf of another gateway. If there is none, it
@@ -68,7 +68,7 @@
 // BorrowRefused records that a holder will have no turn of the upstream for the given time.
 // Another holder may have one sooner.
 func (t *Table) BorrowRefused(now time.Time, in Instance, wait time.Duration) {
-	if u, ok := t.upstreams[in.ID]; ok && u.incarnation == in.Start() {
+	if u, ok := t.upstreams[in.ID]; ok && u.incarnation == in.IncarnationKey() {
 		holders := max(1, min(u.limit.split.Holders, t.gatewayCount()))
 		u.limit.borrowAgainAt = now.Add(min(wait, maxTurnBacklog) / time.Duration(holders))
 	}
@@ -78,7 +78,7 @@
 // false if the upstream is no longer available.
 func (t *Table) PickBorrowed(now time.Time, r Request, in Instance) (Choice, bool) {
 	u, ok := t.upstreams[in.ID]
-	if !ok || u.incarnation != in.Start() || !u.present(now) || u.gone(now) {
+	if !ok || u.incarnation != in.IncarnationKey() || !u.present(now) || u.gone(now) {
 		return Choice{}, false
 	}
 	p := t.pool(u.Pool)
--- a/internal/core/balance/lend_test.go
+++ b/internal/core/balance/lend_test.go
@@ -27,7 +27,7 @@
 		_, ok := other.Pick(at(ms), r)
 		is.True(!ok)
 		for _, l := range other.Borrowable(at(ms), r) {
-			wait, ok := holder.Lend(at(ms), l.Start(), false)
+			wait, ok := holder.Lend(at(ms), l.IncarnationKey(), false)
 			if !ok {
 				is.True(wait > 0)
 				other.BorrowRefused(at(ms), l.Instance, wait)
@@ -84,7 +84,7 @@
 		})
 	}
 	is := is.New(t)
-	is.Equal(len(limitedTable(9, 9, 1).Borrowable(at(10), plainRequest(7))), maxBorrowAsks)
+	is.Equal(len(limitedTable(9, 9, 1).Borrowable(at(10), plainRequest(7))), maxBorrowRequests)
 	table := tableWith(1)
 	_, ok := table.Lend(at(10), table.pools["p"].members[0].incarnation, false)
 	is.True(!ok) // no rate limit, so no turns
--- a/internal/core/balance/limited.go
+++ b/internal/core/balance/limited.go
@@ -59,9 +59,9 @@
 func (b LimitBounds) split(perSecond float64) quota.Split {
 	policy := quota.Policy{Utilisation: limitUtilisation, Views: limitOvercommit, Holders: maxLimitHolders}
 	return policy.Divide(quota.Bound{
-		Rate:   max(perSecond, minLimit),
-		Most:   b.Overrun*b.Window.Seconds()*perSecond + b.Slack,
-		Window: b.Window,
+		Rate:        max(perSecond, minLimit),
+		MaxRequests: b.Overrun*b.Window.Seconds()*perSecond + b.Slack,
+		Window:      b.Window,
 	})
 }
 
@@ -137,7 +137,7 @@
 	t.updateShare(now, l)
 	next := l.bucket.Next(l.share)
 	if lowestPriority && l.turns%lowPriorityTurnInterval != 0 {
-		next = next.Add(time.Duration(lowPriorityTurnWait * float64(l.share.Every)))
+		next = next.Add(time.Duration(lowPriorityTurnWait * float64(l.share.Interval)))
 	}
 	return !now.Before(next)
 }
--- a/internal/core/balance/limited_test.go
+++ b/internal/core/balance/limited_test.go
@@ -129,11 +129,11 @@
 	reported := 0
 	for ms := 0; ms < 5000; ms += 100 {
 		l := occupancy.Load{}.WithLimit(float64(1 + ms/100%2))
-		d := table.SetPeerLoads(at(ms), PeerLoads{Loads: occupancy.Loads{incarnation: l}, Keep: 700 * time.Millisecond, Gateways: 9})
+		d := table.SetPeerLoads(at(ms), PeerLoads{Loads: occupancy.Loads{incarnation: l}, TTL: 700 * time.Millisecond, Gateways: 9})
 		reported += len(d.Limited)
 	}
 	is.Equal(reported, 5)
-	d := table.SetPeerLoads(at(5000), PeerLoads{Keep: 700 * time.Millisecond, Gateways: 9})
+	d := table.SetPeerLoads(at(5000), PeerLoads{TTL: 700 * time.Millisecond, Gateways: 9})
 	is.Equal(len(d.Limited), 1)
 	is.True(!d.Limited[0].Announced)
 }
@@ -146,7 +146,7 @@
 	table.holds = func(time.Time, uint64, int) bool { return false }
 	incarnation := table.pools["p"].members[0].incarnation
 	tell := func(ms int, l occupancy.Load) PeerChanges {
-		return table.SetPeerLoads(at(ms), PeerLoads{Loads: occupancy.Loads{incarnation: l}, Keep: 700 * time.Millisecond, Gateways: 9})
+		return table.SetPeerLoads(at(ms), PeerLoads{Loads: occupancy.Loads{incarnation: l}, TTL: 700 * time.Millisecond, Gateways: 9})
 	}
 	d := tell(0, occupancy.Load{}.WithLimit(1))
 	is.True(d.LimitsReported)
--- a/internal/core/balance/load.go
+++ b/internal/core/balance/load.go
@@ -51,8 +51,8 @@
 	// started is true after the first event, which arrived at startedAt.
 	started   bool
 	startedAt time.Time
-	// hung is true once it was counted as a hanging request.
-	hung bool
+	// countedHanging is true once it was counted as a hanging request.
+	countedHanging bool
 	// expected is the expected time to the first event at an engine of the pool's usual
 	// speed, in milliseconds.
 	expected float64
@@ -66,11 +66,11 @@
 	if !u.load.known {
 		return 0
 	}
-	trust := 1 - float64(now.Sub(u.load.at))/float64(loadTTL)
-	if trust <= 0 {
+	confidence := 1 - float64(now.Sub(u.load.at))/float64(loadTTL)
+	if confidence <= 0 {
 		return 0
 	}
-	return trust * float64(max(0, u.load.Running+u.load.Waiting-u.load.ownRunning))
+	return confidence * float64(max(0, u.load.Running+u.load.Waiting-u.load.ownRunning))
 }
 
 // inFlight estimates the number of requests at the upstream.
--- a/internal/core/balance/notices.go
+++ b/internal/core/balance/notices.go
@@ -16,9 +16,9 @@
 
 // NoticeResult is the result of a notice.
 type NoticeResult struct {
-	// Of is the incarnation that sent the notice, as far as known; the zero value if the
+	// Sender is the incarnation that sent the notice, as far as known; the zero value if the
 	// answer came from an incarnation that is not listed at that address.
-	Of Instance
+	Sender Instance
 	// Listed is true if the incarnation is currently listed.
 	Listed bool
 	State  notice.State
@@ -41,9 +41,9 @@
 	}
 	u, listed := t.upstreams[of.ID]
 	if !listed || u.RestartedAs(of) {
-		before := t.unlisted.Get(now, of.Start())
+		before := t.unlisted.Get(now, of.IncarnationKey())
 		after := before.With(now, n)
-		t.unlisted.Put(now, of.Start(), after)
+		t.unlisted.Put(now, of.IncarnationKey(), after)
 		return noticeResultOf(of, false, before, after)
 	}
 	before := u.notices
@@ -55,7 +55,7 @@
 
 func noticeResultOf(of Instance, listed bool, before, after notice.State) NoticeResult {
 	return NoticeResult{
-		Of:              of,
+		Sender:          of,
 		Listed:          listed,
 		State:           after,
 		NewlyLeaving:    after.Leaving() && !before.Leaving(),
@@ -69,10 +69,10 @@
 // requests meant for another one, so any other answer is from the addressed one. A
 // refusal is attributed to the upstream that it names, if that is listed at the address.
 func (t *Table) responder(to Instance, n notice.Notice) (Instance, bool) {
-	if n.Of == "" || n.Of == to.ID {
-		return to, !n.Misdirected || n.Of == to.ID
+	if n.Sender == "" || n.Sender == to.ID {
+		return to, !n.Misdirected || n.Sender == to.ID
 	}
-	u, ok := t.upstreams[n.Of]
+	u, ok := t.upstreams[n.Sender]
 	if !ok || u.Address != to.Address {
 		return Instance{}, false
 	}
--- a/internal/core/balance/notices_test.go
+++ b/internal/core/balance/notices_test.go
@@ -14,7 +14,7 @@
 var leaves = notice.Notice{Leaving: true}
 
 // backoffOf returns a notice that asks for a backoff.
-func backoffOf(d time.Duration) notice.Notice { return notice.Notice{Rest: d} }
+func backoffOf(d time.Duration) notice.Notice { return notice.Notice{Backoff: d} }
 
 // A notice belongs to the incarnation that answered, and only another incarnation revokes
 // it, not the list.
@@ -26,7 +26,7 @@
 	moved := a
 	moved.Address = "3:1"
 	successor := Instance{ID: "c", Address: "1:1", Zone: "a", Pool: "p", Slots: 8, Born: 5, Created: 9}
-	leaving := func(of string) notice.Notice { return notice.Notice{Leaving: true, Misdirected: true, Of: of} }
+	leaving := func(of string) notice.Notice { return notice.Notice{Leaving: true, Misdirected: true, Sender: of} }
 	tests := []struct {
 		name string
 		// to is the upstream that the request was sent to, n the notice in its answer.
@@ -49,7 +49,7 @@
 		{"refusal by an unlisted upstream", a, leaving("z"), nil, "ab"},
 		{"refusal by one at another address", a, leaving("b"), nil, "ab"},
 		{"refusal by the addressed one", a, leaving("a"), nil, "b"},
-		{"answer that names another one", a, notice.Notice{Leaving: true, Of: "b"}, nil, "ab"},
+		{"answer that names another one", a, notice.Notice{Leaving: true, Sender: "b"}, nil, "ab"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -178,10 +178,10 @@
 	table.Notice(t0, m[0].Instance, leaves)
 	table.Notice(t0, m[1].Instance, backoffOf(time.Second))
 	closed := table.Closed(at(1))
-	is.True(closed.Has(at(1), m[0].Start()))
-	is.True(closed.Has(at(999), m[1].Start()))
-	is.True(!closed.Has(at(1000), m[1].Start())) // the backoff has ended
-	is.True(!closed.Has(at(1), m[2].Start()))
+	is.True(closed.Has(at(1), m[0].IncarnationKey()))
+	is.True(closed.Has(at(999), m[1].IncarnationKey()))
+	is.True(!closed.Has(at(1000), m[1].IncarnationKey())) // the backoff has ended
+	is.True(!closed.Has(at(1), m[2].IncarnationKey()))
 }
 
 // Notices of many short-lived incarnations take bounded memory.
--- a/internal/core/balance/outcome.go
+++ b/internal/core/balance/outcome.go
@@ -43,13 +43,13 @@
 	return names[o]
 }
 
-// Began records that the first event of a stream or the head of an answer arrived.
-func (t *Table) Began(now time.Time, c Choice) {
+// ResponseStarted records that the first event of a stream or the head of an answer arrived.
+func (t *Table) ResponseStarted(now time.Time, c Choice) {
 	u, ok := t.upstreams[c.ID]
 	if !ok {
 		return
 	}
-	u.heard(now)
+	u.received(now)
 	r, ok := u.running[c.run]
 	if !ok || r.started {
 		return
@@ -59,7 +59,7 @@
 	u.health = u.health.WithResponseStart(now)
 	r.unread = 0
 	if r.lowestPriority {
-		t.pool(u.Pool).queue.Began(now, now.Sub(r.sentAt))
+		t.pool(u.Pool).queue.ResponseStarted(now, now.Sub(r.sentAt))
 	}
 	if c.prompt.Tokens > 0 {
 		t.pool(u.Pool).speed.learn(c.Unread, now.Sub(r.sentAt))
@@ -67,10 +67,10 @@
 	}
 }
 
-// Heard records that data arrived from the upstream, and the gaps between the events.
-func (t *Table) Heard(now time.Time, id string, g Gaps) {
+// DataReceived records that data arrived from the upstream, and the gaps between the events.
+func (t *Table) DataReceived(now time.Time, id string, g Gaps) {
 	if u, ok := t.upstreams[id]; ok {
-		u.heard(now)
+		u.received(now)
 		if gap, ok := g.meanGap(); ok {
 			u.meanGap.learn(now, gap, meanGapWeight)
 		}
@@ -80,18 +80,18 @@
 	}
 }
 
-// heard resets the silence of the upstream.
-func (u *upstream) heard(now time.Time) {
+// received resets the silence of the upstream.
+func (u *upstream) received(now time.Time) {
 	u.awaitingSince = time.Time{}
-	u.lastHeardAt = now
+	u.lastReceivedAt = now
 }
 
 // SilentFor returns how long the chosen upstream has sent nothing for any request,
 // counted from the choice at the earliest.
 func (t *Table) SilentFor(now time.Time, c Choice) time.Duration {
 	since := c.pickedAt
-	if u, ok := t.upstreams[c.ID]; ok && u.lastHeardAt.After(since) {
-		since = u.lastHeardAt
+	if u, ok := t.upstreams[c.ID]; ok && u.lastReceivedAt.After(since) {
+		since = u.lastReceivedAt
 	}
 	return now.Sub(since)
 }
@@ -125,7 +125,7 @@
 	}
 	switch o {
 	case Completed:
-		u.heard(now)
+		u.received(now)
 		if !r.started {
 			r.startedAt = now // The whole answer arrived at once.
 		}
@@ -136,17 +136,17 @@
 		}
 		t.pool(u.Pool).learnOutput(r, a.Tokens)
 	case Refused:
-		u.heard(now)
+		u.received(now)
 		if !u.notices.InBackoff(now) {
-			t.noteRefusal(now, u, r, a.Load)
+			t.recordRefusal(now, u, r, a.Load)
 		}
 	case Throttled:
-		u.heard(now)
-		if !u.notices.InBackoff(now) && t.noteThrottle(now, u, r) {
-			t.noteRefusal(now, u, r, a.Load)
+		u.received(now)
+		if !u.notices.InBackoff(now) && t.recordThrottle(now, u, r) {
+			t.recordRefusal(now, u, r, a.Load)
 		}
 	case Declined:
-		u.heard(now)
+		u.received(now)
 	case Faulty, Broken:
 		u.health = u.health.WithFailure(now)
 		t.ejectIfFailing(now, u)
@@ -156,11 +156,11 @@
 		u.health = u.health.WithFailure(now)
 		// It may come back cold, and reports that only with its next heartbeat.
 		p := t.pools[u.Pool]
-		u.warmup = u.warmup.With(now.Add(p.cold.For))
+		u.warmup = u.warmup.With(now.Add(p.cold.Period))
 		if p.mayEject(now) {
 			u.health = u.health.WithExclusion(now, unreachableBackoff)
 		}
 	case Abandoned:
-		t.pool(u.Pool).noteIfHanging(now, u, r)
+		t.pool(u.Pool).recordIfHanging(now, u, r)
 	}
 }
--- a/internal/core/balance/peers.go
+++ b/internal/core/balance/peers.go
@@ -17,8 +17,8 @@
 	Loads occupancy.Loads
 	// Age is the mean age of the reports on arrival.
 	Age time.Duration
-	// Keep is how long the reports are valid.
-	Keep time.Duration
+	// TTL is how long the reports are valid.
+	TTL time.Duration
 	// Gateways is the number of gateways, including this one.
 	Gateways int
 }
@@ -52,13 +52,13 @@
 func (t *Table) SetPeerLoads(now time.Time, p PeerLoads) PeerChanges {
 	var d PeerChanges
 	t.peersAt, t.peersAge, t.gateways = now, p.Age, max(p.Gateways, 1)
-	reportedAt, until := now.Add(-p.Age), now.Add(p.Keep)
+	reportedAt, until := now.Add(-p.Age), now.Add(p.TTL)
 	for _, of := range t.pools {
 		for _, u := range of.members {
 			u.peerLoad, u.peerLoadAt, u.peerLoadUntil = p.Loads[u.incarnation], reportedAt, until
 			t.applyLimitVotes(now, u, &d)
 			if len(u.running) > 0 {
-				d.Hanging = append(d.Hanging, of.noteHanging(now, u)...)
+				d.Hanging = append(d.Hanging, of.recordHanging(now, u)...)
 			}
 			if o, ok := u.applyVotes(now); ok {
 				d.Outvoted = append(d.Outvoted, o)
--- a/internal/core/balance/peers_test.go
+++ b/internal/core/balance/peers_test.go
@@ -14,7 +14,7 @@
 
 // peerLoadsOf returns the load of two other gateways, reported just now.
 func peerLoadsOf(loads occupancy.Loads) PeerLoads {
-	return PeerLoads{Loads: loads, Keep: peerLoadTTL, Gateways: 3}
+	return PeerLoads{Loads: loads, TTL: peerLoadTTL, Gateways: 3}
 }
 
 // pair returns two gateways with the same engines.
@@ -50,13 +50,13 @@
 	b.AddPeerParts(at(1), a.TakeNewParts())
 	keys := long(1).Prompt.chain()
 	engineCache := b.upstreams[first.ID].cache
-	is.Equal(engineCache.kept(at(1), long(1).Prompt, keys[:2]), 6000)
-	is.Equal(engineCache.keptAndRead(at(1), long(1).Prompt, keys[:2]), 0)
-	a.Began(at(200), first)
+	is.Equal(engineCache.cachedTokens(at(1), long(1).Prompt, keys[:2]), 6000)
+	is.Equal(engineCache.prefilledTokens(at(1), long(1).Prompt, keys[:2]), 0)
+	a.ResponseStarted(at(200), first)
 	news := a.TakeNewParts()
 	is.Equal(len(news), 2) // the shared parts, not the request's own
 	b.AddPeerParts(at(201), news)
-	is.Equal(engineCache.keptAndRead(at(201), long(1).Prompt, keys[:2]), 6000)
+	is.Equal(engineCache.prefilledTokens(at(201), long(1).Prompt, keys[:2]), 6000)
 	again, _ := b.Pick(at(202), long(21))
 	is.Equal(again.ID, first.ID)
 	is.Equal(again.Unread, 3000)
@@ -69,17 +69,17 @@
 		t.Run(o.String(), func(t *testing.T) {
 			is := is.New(t)
 			table := enginesWith(t, 2)
-			kept := func(c Choice) int {
-				return table.upstreams[c.ID].cache.kept(at(1), long(1).Prompt, long(1).Prompt.chain())
+			cachedTokens := func(c Choice) int {
+				return table.upstreams[c.ID].cache.cachedTokens(at(1), long(1).Prompt, long(1).Prompt.chain())
 			}
 			c, _ := table.Pick(t0, long(1))
-			is.Equal(kept(c), 9000)
+			is.Equal(cachedTokens(c), 9000)
 			table.Ended(at(1), c, o, Answer{})
-			is.Equal(kept(c), 0)
+			is.Equal(cachedTokens(c), 0)
 			begun, _ := table.Pick(at(1), long(1))
-			table.Began(at(2), begun)
+			table.ResponseStarted(at(2), begun)
 			table.Ended(at(3), begun, o, Answer{})
-			is.Equal(kept(begun), 9000)
+			is.Equal(cachedTokens(begun), 9000)
 		})
 	}
 }
--- a/internal/core/balance/pick.go
+++ b/internal/core/balance/pick.go
@@ -97,7 +97,7 @@
 	p.refreshOrder(now)
 	candidates := p.withRoom(now, t.usable(now, p, r))
 	if len(candidates) == 0 {
-		p.unplaced.note(now)
+		p.unplaced.increment(now)
 		return Choice{}, false
 	}
 	keys := r.Prompt.chain()
@@ -179,13 +179,13 @@
 // trial, are returned only if there are no others.
 func (t *Table) usable(now time.Time, p *pool, r Request) []*upstream {
 	var preferred, fallback []*upstream
-	trusted := p.trustsPeers(now)
+	acceptsReports := p.acceptsPeerReports(now)
 	for _, u := range p.members {
 		switch {
 		case !u.present(now) || u.gone(now) || u.atSlowStartLimit(now) || slices.Contains(r.Exclude, u.ID) || !t.maySend(now, p, u, r.Least):
 		case u.ejected(now) || t.inSlowStart(now, u, r),
-			trusted && u.peersAvoid(now),
-			trusted && u.health.OnTrial(now) && !t.mayTry(now, u, r):
+			acceptsReports && u.avoidedByPeers(now),
+			acceptsReports && u.health.OnTrial(now) && !t.mayRunTrial(now, u, r):
 			fallback = append(fallback, u)
 		default:
 			preferred = append(preferred, u)
@@ -256,5 +256,5 @@
 		t.announceParts(u, u.cache.record(now, r.Prompt, c.keys, false))
 	}
 	u.running[c.run] = sent
-	p.sent.of(p.gapTargets.isTight(r.TargetGap)).note(now)
+	p.sent.of(p.gapTargets.isTight(r.TargetGap)).increment(now)
 }
--- a/internal/core/balance/replay_backoff_test.go
+++ b/internal/core/balance/replay_backoff_test.go
@@ -58,7 +58,7 @@
 		s.asked[g], s.received[g] = r.now, 0
 	}
 	r.after(1, func() {
-		g.table.Notice(r.now, c.Instance, notice.Notice{Rest: requestedBackoff})
+		g.table.Notice(r.now, c.Instance, notice.Notice{Backoff: requestedBackoff})
 		g.table.Ended(r.now, c, Refused, Answer{})
 		left, _ := g.table.RetryAfter(r.now, "p", uint64(r.now.UnixNano()))
 		r.rejected(q, max(refusedRetryAfter, left))
--- a/internal/core/balance/replay_engine_test.go
+++ b/internal/core/balance/replay_engine_test.go
@@ -201,7 +201,7 @@
 	run.longest = max(run.longest, gap)
 	run.gaps = run.gaps.With(gap)
 	if e.r.now.Sub(run.reportedAt) >= 200*time.Millisecond {
-		run.gateway.table.Heard(e.r.now, e.id, run.gaps)
+		run.gateway.table.DataReceived(e.r.now, e.id, run.gaps)
 		run.gaps = Gaps{}
 		run.reportedAt = e.r.now
 	}
--- a/internal/core/balance/replay_fault_test.go
+++ b/internal/core/balance/replay_fault_test.go
@@ -72,7 +72,7 @@
 			r.rejected(q, refusedRetryAfter)
 			return
 		}
-		table.Began(r.now, c)
+		table.ResponseStarted(r.now, c)
 		table.Ended(r.now, c, Faulty, Answer{})
 		r.count(q.class, failedResult)
 	})
--- a/internal/core/balance/replay_limit_test.go
+++ b/internal/core/balance/replay_limit_test.go
@@ -73,7 +73,7 @@
 	// of holders.
 	holder := r.gateways[(n-l.Key%n+uint64(r.rng.IntN(min(l.Holders, int(n)))))%n]
 	r.after(borrowMs, func() {
-		wait, ok := holder.table.Lend(r.now, l.Start(), ask.Least)
+		wait, ok := holder.table.Lend(r.now, l.IncarnationKey(), ask.Least)
 		if !ok {
 			q.gateway.table.BorrowRefused(r.now, l.Instance, wait)
 			r.borrowFrom(q, ask, loans[1:])
--- a/internal/core/balance/replay_simulation_test.go
+++ b/internal/core/balance/replay_simulation_test.go
@@ -119,7 +119,7 @@
 	var routes []*ingress.Route
 	for i := range classes {
 		c := &classes[i]
-		routes = append(routes, &ingress.Route{Name: c.name, Prefix: "/" + c.name + "/", Kind: ingress.Stream, Tier: c.tier, Target: c.target, PauseTarget: c.pauseLimit(), Timeout: c.patient, MaxAttempts: 1, Shares: []ingress.Share{{Pool: "p", Weight: 1}}})
+		routes = append(routes, &ingress.Route{Name: c.name, Prefix: "/" + c.name + "/", Kind: ingress.Stream, Tier: c.tier, Target: c.target, EventGapTarget: c.pauseLimit(), Timeout: c.patient, MaxAttempts: 1, Shares: []ingress.Share{{Pool: "p", Weight: 1}}})
 	}
 	engine := &ingress.Engine{Slots: replaySlots, MemoryTokens: replayMemory, EventTokens: eventTokens, Moves: true, LinkMbps: 550_000, TokenBytes: 18_432}
 	cfg, faults := ingress.New(1, routes, []ingress.Pool{{Name: "p", Engine: engine}}, nil, ingress.Limits{})
@@ -277,7 +277,7 @@
 
 func (r *replay) began(run *replayRun) {
 	run.began = r.now
-	run.gateway.table.Began(r.now, run.choice)
+	run.gateway.table.ResponseStarted(r.now, run.choice)
 }
 
 func (r *replay) completed(run *replayRun) {
@@ -343,7 +343,7 @@
 				others[id] = o
 			}
 		}
-		d := g.table.SetPeerLoads(r.now, PeerLoads{Loads: others, Age: r.reportDelay + r.reportInterval/2, Keep: 7 * r.reportInterval, Gateways: len(r.gateways)})
+		d := g.table.SetPeerLoads(r.now, PeerLoads{Loads: others, Age: r.reportDelay + r.reportInterval/2, TTL: 7 * r.reportInterval, Gateways: len(r.gateways)})
 		r.outvoted += len(d.Outvoted)
 		r.hanging += len(d.Hanging)
 		var parts []occupancy.Part
--- a/internal/core/balance/reserve_test.go
+++ b/internal/core/balance/reserve_test.go
@@ -51,7 +51,7 @@
 			c, ok := table.Pick(now, chat(100*gateway+i))
 			is.True(ok)
 			is.True(table.upstreams[c.ID].position < maxReservedShare)
-			table.Began(now, c)
+			table.ResponseStarted(now, c)
 		}
 		reserved := p.reserved(now.Add(reservationTTL)).share
 		is.Equal(reserved, maxReservedShare)
@@ -63,7 +63,7 @@
 			if table.upstreams[c.ID].position >= reserved {
 				away++
 			}
-			table.Began(now, c)
+			table.ResponseStarted(now, c)
 			table.Ended(now, c, Completed, Answer{})
 		}
 		is.True(away >= 16) // expected by chance: 10
@@ -80,7 +80,7 @@
 	is := is.New(t)
 	table := enginesWith(t, 4)
 	p := table.pools["p"]
-	p.gapTargets.set([]ingress.Pause{{Target: time.Second}})
+	p.gapTargets.set([]ingress.GapTarget{{Target: time.Second}})
 	for _, u := range p.members {
 		is.Equal(p.positionCost(t0, u, 0, false), 0.0)
 	}
--- a/internal/core/balance/room_test.go
+++ b/internal/core/balance/room_test.go
@@ -55,7 +55,7 @@
 				}
 				c, ok := table.Pick(at(i), r)
 				is.True(ok)
-				table.Began(at(i), c)
+				table.ResponseStarted(at(i), c)
 				table.Ended(at(i), c, Completed, Answer{})
 				for j, u := range table.pools["p"].members {
 					if u.ID == c.ID {
--- a/internal/core/balance/sample.go
+++ b/internal/core/balance/sample.go
@@ -56,8 +56,8 @@
 	at    time.Time
 }
 
-// note counts one event.
-func (a *arrivals) note(now time.Time) {
+// increment counts one event.
+func (a *arrivals) increment(now time.Time) {
 	a.count = 1 + a.count*a.decay(now)
 	a.at = now
 }
--- a/internal/core/balance/shed_test.go
+++ b/internal/core/balance/shed_test.go
@@ -39,7 +39,7 @@
 			least.Least = true
 			if tt.seen > 0 {
 				c, _ := table.Pick(at(-tt.seen), least)
-				table.Began(t0, c)
+				table.ResponseStarted(t0, c)
 				table.Ended(t0, c, Completed, Answer{})
 			}
 			if tt.pending > 0 {
--- a/internal/core/balance/silent_test.go
+++ b/internal/core/balance/silent_test.go
@@ -12,10 +12,10 @@
 func TestSilentFor(t *testing.T) {
 	tests := []struct {
 		name string
-		// heard are the times at which it sent data, in milliseconds from the start; the
+		// received are the times at which it sent data, in milliseconds from the start; the
 		// request was sent at 100.
-		heard []int
-		want  time.Duration
+		received []int
+		want     time.Duration
 	}{
 		{"no data at all", nil, 900 * time.Millisecond},
 		{"only before the request", []int{50}, 900 * time.Millisecond},
@@ -32,11 +32,11 @@
 				c, _ = table.Pick(at(100), plainRequest(1))
 				sent = true
 			}
-			for _, ms := range tt.heard {
+			for _, ms := range tt.received {
 				if ms > 100 && !sent {
 					pick()
 				}
-				table.Heard(at(ms), "i-0", Gaps{})
+				table.DataReceived(at(ms), "i-0", Gaps{})
 			}
 			if !sent {
 				pick()
--- a/internal/core/balance/speed.go
+++ b/internal/core/balance/speed.go
@@ -67,11 +67,11 @@
 // estimateMs is the expected duration of an answer in milliseconds. The upstream's own
 // mean loses weight with age in favour of poolMean.
 func (p *latency) estimateMs(now time.Time, poolMean float64) float64 {
-	trust := 1 - float64(now.Sub(p.at))/float64(sampleTTL)
-	if p.meanMs == 0 || trust <= 0 {
+	confidence := 1 - float64(now.Sub(p.at))/float64(sampleTTL)
+	if p.meanMs == 0 || confidence <= 0 {
 		return poolMean
 	}
-	return trust*p.meanMs + (1-trust)*poolMean
+	return confidence*p.meanMs + (1-confidence)*poolMean
 }
 
 // meanLatencyMs is the mean duration of an answer over the pool's upstreams.
--- a/internal/core/balance/start_test.go
+++ b/internal/core/balance/start_test.go
@@ -35,9 +35,9 @@
 		}, nil},
 		{"requests end late", nil, func(table *Table, c Choice) { table.Ended(now, c, Dead, Answer{}) }},
 		{"found ended by other gateways", nil, func(table *Table, c Choice) {
-			table.SetPeerLoads(now, PeerLoads{Loads: occupancy.Loads{c.Start(): {Gone: 5}}, Keep: time.Minute, Gateways: 9})
+			table.SetPeerLoads(now, PeerLoads{Loads: occupancy.Loads{c.IncarnationKey(): {Gone: 5}}, TTL: time.Minute, Gateways: 9})
 		}},
-		{"prompt cached", func(table *Table, c Choice) { table.Began(now, c); table.Ended(now, c, Completed, Answer{}) }, nil},
+		{"prompt cached", func(table *Table, c Choice) { table.ResponseStarted(now, c); table.Ended(now, c, Completed, Answer{}) }, nil},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/core/balance/table.go
+++ b/internal/core/balance/table.go
@@ -78,8 +78,8 @@
 	// awaitingSince is when the oldest request was sent since which it has sent nothing;
 	// zero if there is none.
 	awaitingSince time.Time
-	// lastHeardAt is when it last sent anything for any request.
-	lastHeardAt time.Time
+	// lastReceivedAt is when it last sent anything for any request.
+	lastReceivedAt time.Time
 	// goneUntil is the time until which it is considered gone, because another
 	// incarnation answered at its address or nothing listened there.
 	goneUntil time.Time
@@ -168,10 +168,10 @@
 	return in.Born != 0 && next.Born != 0 && in.Born != next.Born
 }
 
-// Start returns a key that distinguishes this incarnation from all others, including
+// IncarnationKey returns a key that distinguishes this incarnation from all others, including
 // later ones with the same ID. If the upstream does not report its start time, the key
 // depends on the ID alone.
-func (in Instance) Start() uint64 {
+func (in Instance) IncarnationKey() uint64 {
 	id := xxhash.Sum64String(in.ID)
 	if in.Born == 0 {
 		return id
@@ -210,7 +210,7 @@
 			c.Cold = append(c.Cold, in.ID)
 		}
 		u.Instance = in
-		u.incarnation = in.Start()
+		u.incarnation = in.IncarnationKey()
 	}
 	for id, u := range t.upstreams {
 		if !seen[id] {
@@ -230,7 +230,7 @@
 // this very incarnation are carried over, since its entry may have lapsed and been
 // created again.
 func (t *Table) newUpstream(now time.Time, in Instance, evacuated bool) *upstream {
-	incarnation := in.Start()
+	incarnation := in.IncarnationKey()
 	u := &upstream{
 		hash:        xxhash.Sum64String(in.ID),
 		incarnation: incarnation,
@@ -311,7 +311,7 @@
 		if p, ok := table.Pool(name); ok {
 			t.pools[name].engine = p.Engine
 			t.pools[name].cold = t.coldSplitOf(p.Cold)
-			t.pools[name].gapTargets.set(table.Pauses(name))
+			t.pools[name].gapTargets.set(table.GapTargets(name))
 		}
 	}
 	t.setCacheLimits()
--- a/internal/core/balance/throttle.go
+++ b/internal/core/balance/throttle.go
@@ -21,10 +21,10 @@
 	return !th.at.IsZero() && th.organisation == organisation && now.Sub(th.at) < throttleTTL
 }
 
-// noteThrottle records that the upstream throttled the request, and reports whether that
+// recordThrottle records that the upstream throttled the request, and reports whether that
 // counts against the upstream. An organisation that is throttled by most of the pool
 // sends too much: otherwise it could have the upstreams ejected.
-func (t *Table) noteThrottle(now time.Time, u *upstream, r *run) bool {
+func (t *Table) recordThrottle(now time.Time, u *upstream, r *run) bool {
 	u.throttled = throttle{organisation: r.organisation, at: now}
 	n, present := 0, 0
 	for _, other := range t.pool(u.Pool).members {
--- a/internal/core/balance/throttle_test.go
+++ b/internal/core/balance/throttle_test.go
@@ -54,7 +54,7 @@
 	table := tableWith(2)
 	members := table.pools["p"].members
 	r := &run{organisation: 1}
-	is.True(table.noteThrottle(t0, members[0], r))
-	is.True(!table.noteThrottle(at(1), members[1], r))
-	is.True(table.noteThrottle(at(1).Add(throttleTTL), members[0], r))
+	is.True(table.recordThrottle(t0, members[0], r))
+	is.True(!table.recordThrottle(at(1), members[1], r))
+	is.True(table.recordThrottle(at(1).Add(throttleTTL), members[0], r))
 }
--- a/internal/core/balance/votes.go
+++ b/internal/core/balance/votes.go
@@ -23,10 +23,10 @@
 	health.Verdict
 }
 
-// mayTry reports whether the request may be sent to such an upstream as a trial: one
+// mayRunTrial reports whether the request may be sent to such an upstream as a trial: one
 // request at a time, of the lowest urgency while there are some, and after votes against
 // it only from a few gateways.
-func (t *Table) mayTry(now time.Time, u *upstream, r Request) bool {
+func (t *Table) mayRunTrial(now time.Time, u *upstream, r Request) bool {
 	if u.unanswered() > 0 || (!r.Least && !u.health.TrialOverdue(now)) {
 		return false
 	}
--- a/internal/core/balance/votes_test.go
+++ b/internal/core/balance/votes_test.go
@@ -58,7 +58,7 @@
 	}
 	c, ok := v.tryFirst(at(1100))
 	is.True(ok)
-	v.table.Began(at(1110), c)
+	v.table.ResponseStarted(at(1110), c)
 	v.table.Ended(at(1120), c, Completed, Answer{})
 	v.applyVotes(at(1200), 1, 0)
 	_, ok = v.tryFirst(at(1200))
--- a/internal/core/entry/entry.go
+++ b/internal/core/entry/entry.go
@@ -134,13 +134,13 @@
 	return b
 }
 
-// Heard records the load that an agent reported.
-func (e *Entry) Heard(now time.Time, id string, l agent.Load) {
+// RecordReport records the load that an agent reported.
+func (e *Entry) RecordReport(now time.Time, id string, l agent.Load) {
 	e.table.Answered(now, id, l)
 }
 
-// Settled records the first response of an agent to an offer.
-func (e *Entry) Settled(id string) { e.table.Settled(id) }
+// OfferAnswered records the first response of an agent to an offer.
+func (e *Entry) OfferAnswered(id string) { e.table.OfferAnswered(id) }
 
 // AgentFailed records that an agent was unreachable or that its upstream closed the
 // connection early.
--- a/internal/core/entry/entry_test.go
+++ b/internal/core/entry/entry_test.go
@@ -80,12 +80,12 @@
 		{"unknown class", "vip", "", func(*Entry) {}, "rejected", "no class"},
 		{"class not open to the organisation", "report", "club", func(*Entry) {}, "rejected", "not open"},
 		{"all agents are leaving", "ruling", "", func(e *Entry) {
-			e.Heard(t0, "a1", agent.Load{Leaving: true})
-			e.Heard(t0, "a2", agent.Load{Leaving: true})
+			e.RecordReport(t0, "a1", agent.Load{Leaving: true})
+			e.RecordReport(t0, "a2", agent.Load{Leaving: true})
 		}, "refused", "none of 2"},
 		{"expected wait above the target", "ruling", "", func(e *Entry) {
 			for _, id := range []string{"a1", "a2"} {
-				e.Heard(t0, id, agent.Load{Wait: [config.Tiers]time.Duration{time.Minute}})
+				e.RecordReport(t0, id, agent.Load{Wait: [config.Tiers]time.Duration{time.Minute}})
 			}
 		}, "likely refused by the agents", "above the target"},
 		{"gate", "ruling", "club", func(e *Entry) {
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -211,15 +211,15 @@
 // of gateways: this gateway and a random sample of the others.
 func (f *Fleet) Sample(now time.Time, known int, random uint64) []Member {
 	list := f.alive(now)
-	most := MaxSample
+	maxMembers := MaxSample
 	if 2*known <= len(list) || now.Before(f.discoveringUntil) {
-		most = MaxBootstrapSample
+		maxMembers = MaxBootstrapSample
 	}
 	slices.SortFunc(list, func(a, b *peer) int {
 		return cmp.Compare(rendezvous.Mix(random, a.hash), rendezvous.Mix(random, b.hash))
 	})
 	members := []Member{f.self}
-	for _, p := range list[:min(len(list), most-1)] {
+	for _, p := range list[:min(len(list), maxMembers-1)] {
 		members = append(members, p.Member)
 	}
 	return members
--- a/internal/core/fleet/ranking.go
+++ b/internal/core/fleet/ranking.go
@@ -21,20 +21,20 @@
 // hosts first, and both groups in rendezvous order for the key.
 func (f *Fleet) ranked(key string, addresses []string) []string {
 	ranked := rendezvous.Rank(key, addresses)
-	var most uint32
+	var highest uint32
 	for _, address := range ranked {
-		most = max(most, f.capacity(address))
+		highest = max(highest, f.capacity(address))
 	}
-	least := strongCapacityRatio * float64(most)
+	threshold := strongCapacityRatio * float64(highest)
 	slices.SortStableFunc(ranked, func(a, b string) int {
-		return weak(f.capacity(a), least) - weak(f.capacity(b), least)
+		return weak(f.capacity(a), threshold) - weak(f.capacity(b), threshold)
 	})
 	return ranked
 }
 
 // weak returns 1 for a capacity below that of strong hosts, and 0 otherwise.
-func weak(capacity uint32, least float64) int {
-	if float64(capacity) < least {
+func weak(capacity uint32, threshold float64) int {
+	if float64(capacity) < threshold {
 		return 1
 	}
 	return 0
--- a/internal/core/gate/gate.go
+++ b/internal/core/gate/gate.go
@@ -17,10 +17,10 @@
 
 // Times and bounds of the gates.
 const (
-	// CloseFor is how long one refusal closes a gate.
-	CloseFor = 250 * time.Millisecond
-	// ProbeEvery is the time between two probes through a closed gate.
-	ProbeEvery = 50 * time.Millisecond
+	// ClosePeriod is how long one refusal closes a gate.
+	ClosePeriod = 250 * time.Millisecond
+	// ProbeInterval is the time between two probes through a closed gate.
+	ProbeInterval = 50 * time.Millisecond
 	// sweepThreshold is the number of gates from which open ones are dropped.
 	sweepThreshold = 4096
 )
@@ -56,7 +56,7 @@
 		return 0, true
 	}
 	if !now.Before(s.nextProbe) {
-		s.nextProbe = now.Add(ProbeEvery)
+		s.nextProbe = now.Add(ProbeInterval)
 		return 0, true
 	}
 	return s.retryAfter, false
@@ -72,8 +72,8 @@
 		s = &state{}
 		g.closed[k] = s
 	}
-	s.closedUntil = now.Add(CloseFor)
-	s.nextProbe = now.Add(ProbeEvery)
+	s.closedUntil = now.Add(ClosePeriod)
+	s.nextProbe = now.Add(ProbeInterval)
 	s.retryAfter = retryAfter
 }
 
--- a/internal/core/gate/gate_test.go
+++ b/internal/core/gate/gate_test.go
@@ -22,12 +22,12 @@
 	wait, ok := g.Pass(t0, k)
 	is.True(!ok)
 	is.Equal(wait, 3*time.Second)
-	is.True(pass(other, 0))         // Another organisation is not held back.
-	is.True(pass(k, ProbeEvery))    // A probe.
-	is.True(!pass(k, ProbeEvery+1)) // One probe at a time.
-	is.True(pass(k, CloseFor))      // The gate opens by itself.
-	g.Refused(t0.Add(CloseFor), k, 0)
-	is.True(!pass(k, CloseFor+1))
+	is.True(pass(other, 0))            // Another organisation is not held back.
+	is.True(pass(k, ProbeInterval))    // A probe.
+	is.True(!pass(k, ProbeInterval+1)) // One probe at a time.
+	is.True(pass(k, ClosePeriod))      // The gate opens by itself.
+	g.Refused(t0.Add(ClosePeriod), k, 0)
+	is.True(!pass(k, ClosePeriod+1))
 	g.Admitted(k) // A probe was admitted.
-	is.True(pass(k, CloseFor+2))
+	is.True(pass(k, ClosePeriod+2))
 }
--- a/internal/core/gateway/admit.go
+++ b/internal/core/gateway/admit.go
@@ -12,22 +12,22 @@
 	Host string
 	Path string
 	Key  string
-	// Patience is how long the caller waits; 0 if unspecified.
-	Patience time.Duration
+	// CallerTimeout is how long the caller waits; 0 if unspecified.
+	CallerTimeout time.Duration
 }
 
 // Bounds are the maximum ages of the view that admission, and the code that follows the
 // store for it, accept.
 type Bounds struct {
-	// KeyAge is the maximum age of the view up to which keys are accepted; 0 means any age.
-	KeyAge time.Duration
-	// DenyAge is the maximum age of the view up to which a missing route or key is
+	// MaxKeyAge is the maximum age of the view up to which keys are accepted; 0 means any age.
+	MaxKeyAge time.Duration
+	// MaxDenyAge is the maximum age of the view up to which a missing route or key is
 	// definitive. An older view may not contain it yet.
-	DenyAge time.Duration
-	// ListAge is the maximum age of the view up to which it is used without asking the
+	MaxDenyAge time.Duration
+	// MaxListAge is the maximum age of the view up to which it is used without asking the
 	// store: by then a leaving upstream must get no new requests, and a new configuration
 	// must be in force. 0 means any age.
-	ListAge time.Duration
+	MaxListAge time.Duration
 	// UrgencySteps is the number of urgency classes of the upstreams.
 	UrgencySteps int
 }
@@ -54,14 +54,14 @@
 	}
 	age := v.Age(now)
 	a := Admission{Version: v.Table.Version, Age: age}
-	certain := age <= b.DenyAge
+	certain := age <= b.MaxDenyAge
 	route, ok := v.Table.Route(c.Host, c.Path)
 	if !ok {
 		return a, deniedIfCertain(certain, NotFound, NoRoute)
 	}
 	a.Route = route
 	if v.Table.NeedsKey(route) {
-		if b.KeyAge > 0 && age > b.KeyAge {
+		if b.MaxKeyAge > 0 && age > b.MaxKeyAge {
 			return a, unavailable(ViewTooOld, retryAfterLong)
 		}
 		if c.Key == "" {
@@ -76,8 +76,8 @@
 	a.Pool = route.Pool(ingress.HashID(c.ID))
 	a.Urgency = v.Table.Urgency(a.Organisation, route, b.UrgencySteps)
 	a.Deadline = now.Add(route.Timeout)
-	if c.Patience > 0 && now.Add(c.Patience).Before(a.Deadline) {
-		a.Deadline = now.Add(c.Patience)
+	if c.CallerTimeout > 0 && now.Add(c.CallerTimeout).Before(a.Deadline) {
+		a.Deadline = now.Add(c.CallerTimeout)
 	}
 	return a, nil
 }
--- a/internal/core/gateway/gateway_test.go
+++ b/internal/core/gateway/gateway_test.go
@@ -26,7 +26,7 @@
 }
 
 func TestAdmit(t *testing.T) {
-	b := Bounds{KeyAge: 4 * time.Second, DenyAge: 2 * time.Second, UrgencySteps: 10}
+	b := Bounds{MaxKeyAge: 4 * time.Second, MaxDenyAge: 2 * time.Second, UrgencySteps: 10}
 	tests := []struct {
 		name   string
 		age    time.Duration
@@ -48,7 +48,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			tt.c.Host = "h"
-			tt.c.Patience = 300 * time.Millisecond
+			tt.c.CallerTimeout = 300 * time.Millisecond
 			a, refusal := Admit(t0, view(t, tt.age), tt.c, b)
 			if tt.kind == 0 {
 				is.True(refusal == nil)
--- a/internal/core/gateway/refusal.go
+++ b/internal/core/gateway/refusal.go
@@ -25,23 +25,23 @@
 
 // Reasons of refusals.
 const (
-	NoConfiguration Reason = "no_configuration"
-	ViewTooOld      Reason = "view_too_old"
-	NoRoute         Reason = "no_route"
-	NoKey           Reason = "no_key"
-	UnknownKey      Reason = "unknown_key"
-	NoUpstream      Reason = "no_upstream"
-	PoolBusy        Reason = "pool_busy"
-	RefusedByAll    Reason = "refused_by_upstreams"
-	Unreachable     Reason = "upstreams_unreachable"
-	OutcomeUnknown  Reason = "outcome_unknown"
-	OutOfTime       Reason = "out_of_time"
-	BodyTooLarge    Reason = "body_too_large"
-	BodyNotRead     Reason = "body_not_read"
-	StoppingProcess Reason = "stopping"
-	EndsUpstreams   Reason = "ends_upstreams"
-	SuspectRuns     Reason = "suspect_runs"
-	UpstreamsRest   Reason = "upstreams_rest"
+	NoConfiguration     Reason = "no_configuration"
+	ViewTooOld          Reason = "view_too_old"
+	NoRoute             Reason = "no_route"
+	NoKey               Reason = "no_key"
+	UnknownKey          Reason = "unknown_key"
+	NoUpstream          Reason = "no_upstream"
+	PoolBusy            Reason = "pool_busy"
+	RefusedByAll        Reason = "refused_by_upstreams"
+	Unreachable         Reason = "upstreams_unreachable"
+	OutcomeUnknown      Reason = "outcome_unknown"
+	OutOfTime           Reason = "out_of_time"
+	BodyTooLarge        Reason = "body_too_large"
+	BodyNotRead         Reason = "body_not_read"
+	StoppingProcess     Reason = "stopping"
+	UpstreamCrashes     Reason = "ends_upstreams"
+	SuspectRuns         Reason = "suspect_runs"
+	UpstreamsBackingOff Reason = "upstreams_rest"
 	// UpstreamsLimited means that the upstreams are at their request limits.
 	UpstreamsLimited Reason = "upstreams_limited"
 )
@@ -83,14 +83,14 @@
 	return r.NotRun && (r.Reason == NoUpstream || r.Reason == RefusedByAll || r.Reason == Unreachable)
 }
 
-// WithRest returns a refusal that tells the caller to retry after left, the time until the
+// WithBackoff returns a refusal that tells the caller to retry after left, the time until the
 // first of the available upstreams accepts requests again. If left is 0, it returns r
 // unchanged.
-func (r *Refusal) WithRest(left time.Duration) *Refusal {
+func (r *Refusal) WithBackoff(left time.Duration) *Refusal {
 	if left <= 0 {
 		return r
 	}
-	return unavailable(UpstreamsRest, left)
+	return unavailable(UpstreamsBackingOff, left)
 }
 
 // WithLimit returns a refusal that tells the caller to retry after left, the time until the
@@ -114,7 +114,7 @@
 // is not retried here, and its caller should not retry it either. Ran is true if the last
 // crash happened during this attempt.
 func CrashesUpstreams(ran bool) *Refusal {
-	return &Refusal{Kind: Harmful, Reason: EndsUpstreams, NotRun: !ran}
+	return &Refusal{Kind: Harmful, Reason: UpstreamCrashes, NotRun: !ran}
 }
 
 // TooLate refuses a request whose deadline passed before it was sent on, because the host
--- a/internal/core/health/votes.go
+++ b/internal/core/health/votes.go
@@ -61,8 +61,8 @@
 // Verdict is a decision by votes to demote an upstream.
 type Verdict struct {
 	Votes
-	// For is the duration of the demotion.
-	For time.Duration
+	// DemotedFor is the duration of the demotion.
+	DemotedFor time.Duration
 }
 
 // demotion is the outcome of the votes of all gateways.
@@ -95,8 +95,8 @@
 	switch {
 	case s.Demoted(now):
 	case all.against() && others.Failing > 0 && (all.Failing >= demotionQuorum || s.trialFailed(now)):
-		v := Verdict{Votes: all, For: demotionBase << min(s.demotion.count, maxDemotionDoublings)}
-		s.demotion = s.demotion.with(now, v.For)
+		v := Verdict{Votes: all, DemotedFor: demotionBase << min(s.demotion.count, maxDemotionDoublings)}
+		s.demotion = s.demotion.with(now, v.DemotedFor)
 		return s, v, true
 	case all.against() && s.InLimitedTrial(now):
 		s.demotion = s.demotion.withVote(now)
@@ -117,8 +117,8 @@
 // others keep waiting.
 func (dm demotion) withVote(now time.Time) demotion {
 	dm.trialUntil = now.Add(trialFor)
-	if most := dm.demotedUntil.Add(maxTrialWait); dm.trialUntil.After(most) {
-		dm.trialUntil = most
+	if latest := dm.demotedUntil.Add(maxTrialWait); dm.trialUntil.After(latest) {
+		dm.trialUntil = latest
 	}
 	return dm
 }
--- a/internal/core/ingress/route.go
+++ b/internal/core/ingress/route.go
@@ -53,8 +53,8 @@
 	Timeout time.Duration
 	// Target is the target time to the response, or to the first event of a stream.
 	Target time.Duration
-	// PauseTarget is the target for the longest pause between two events; 0 means none.
-	PauseTarget time.Duration
+	// EventGapTarget is the target for the longest gap between two events; 0 means none.
+	EventGapTarget time.Duration
 	// MaxAttempts is the maximum number of upstreams that one request is sent to.
 	MaxAttempts int
 	// Tier is the rank of the route; 0 is the highest.
--- a/internal/core/ingress/table.go
+++ b/internal/core/ingress/table.go
@@ -32,8 +32,8 @@
 // Cold configures the warm-up of a pool's upstreams that have just started or lost their
 // warm state. The zero value means no warm-up.
 type Cold struct {
-	// For is how long an upstream is cold after its start.
-	For time.Duration
+	// Period is how long an upstream is cold after its start.
+	Period time.Duration
 	// PerSecond is the number of requests that a cold upstream handles per second; 0 means
 	// as many as a warm one.
 	PerSecond float64
@@ -175,28 +175,28 @@
 	return n
 }
 
-// Pause is the target of a streaming route for the pause between two events.
-type Pause struct {
+// GapTarget is the target of a streaming route for the gap between two events.
+type GapTarget struct {
 	Target time.Duration
 	// Tier is the rank of the route; 0 is the highest.
 	Tier int
 }
 
-// Pauses returns the distinct pauses of the streaming routes that use the pool, the
+// GapTargets returns the distinct gap targets of the streaming routes that use the pool, the
 // shortest first.
-func (t *Table) Pauses(pool string) []Pause {
-	var pauses []Pause
+func (t *Table) GapTargets(pool string) []GapTarget {
+	var targets []GapTarget
 	for _, rs := range t.routes {
 		for _, r := range rs {
-			if r.PauseTarget > 0 && r.serves(pool) {
-				pauses = append(pauses, Pause{Target: r.PauseTarget, Tier: r.Tier})
+			if r.EventGapTarget > 0 && r.serves(pool) {
+				targets = append(targets, GapTarget{Target: r.EventGapTarget, Tier: r.Tier})
 			}
 		}
 	}
-	slices.SortFunc(pauses, func(a, b Pause) int {
+	slices.SortFunc(targets, func(a, b GapTarget) int {
 		return cmp.Or(cmp.Compare(a.Target, b.Target), cmp.Compare(a.Tier, b.Tier))
 	})
-	return slices.Compact(pauses)
+	return slices.Compact(targets)
 }
 
 // NeedsKey reports whether requests on the route must carry a key.
--- a/internal/core/limit/limit.go
+++ b/internal/core/limit/limit.go
@@ -17,8 +17,8 @@
 	"github.com/gladegauge/gladegauge/internal/core/config"
 )
 
-// sweepEvery is the number of calls between two sweeps of full buckets.
-const sweepEvery = 4096
+// sweepInterval is the number of calls between two sweeps of full buckets.
+const sweepInterval = 4096
 
 type bucket struct {
 	tokens     float64
@@ -46,7 +46,7 @@
 		return 0, true
 	}
 	l.calls++
-	if l.calls%sweepEvery == 0 {
+	if l.calls%sweepInterval == 0 {
 		l.sweep(now)
 	}
 	b := l.bucket(now, o, max(1, entries))
--- a/internal/core/notice/notice.go
+++ b/internal/core/notice/notice.go
@@ -22,8 +22,8 @@
 type Notice struct {
 	// Leaving means that the upstream accepts no new work until it ends.
 	Leaving bool
-	// Rest is how long this gateway should back off; 0 if the answer does not say.
-	Rest time.Duration
+	// Backoff is how long this gateway should back off; 0 if the answer does not say.
+	Backoff time.Duration
 	// Limit is the rate limit that the answer announces.
 	Limit Limit
 	// SentAt is when the request of this answer was sent; zero if unknown, as for interim
@@ -32,12 +32,14 @@
 	// Unparsed is the text of an announcement that could not be parsed; empty if all
 	// could.
 	Unparsed string
-	// Of is the upstream identity in the answer; empty if it has none.
-	Of string
+	// Sender is the upstream identity in the answer; empty if it has none.
+	Sender string
 	// Misdirected is true if the answer comes from another incarnation than the addressed
 	// one.
 	Misdirected bool
 }
 
 // Any reports whether the answer announces anything about its upstream.
-func (n Notice) Any() bool { return n.Leaving || n.Rest > 0 || n.Limit.Announced || n.Unparsed != "" }
+func (n Notice) Any() bool {
+	return n.Leaving || n.Backoff > 0 || n.Limit.Announced || n.Unparsed != ""
+}
--- a/internal/core/notice/state.go
+++ b/internal/core/notice/state.go
@@ -49,10 +49,10 @@
 	if n.Unparsed != "" {
 		s.unparsed = n.Unparsed
 	}
-	if n.Rest <= 0 {
+	if n.Backoff <= 0 {
 		return s
 	}
-	if until := now.Add(min(n.Rest, maxBackoff)); until.After(s.backoffUntil) {
+	if until := now.Add(min(n.Backoff, maxBackoff)); until.After(s.backoffUntil) {
 		s.backoffUntil = until
 		s.answered = 0
 	}
--- a/internal/core/notice/state_cache.go
+++ b/internal/core/notice/state_cache.go
@@ -15,33 +15,33 @@
 // entry that comes back does not undo what its upstream announced. The zero value is
 // empty. It is not safe for concurrent use.
 type StateCache struct {
-	entries map[uint64]bookEntry
+	entries map[uint64]cacheEntry
 }
 
-// bookEntry is the state of one incarnation with the time when it was stored.
-type bookEntry struct {
+// cacheEntry is the state of one incarnation with the time when it was stored.
+type cacheEntry struct {
 	state State
 	at    time.Time
 }
 
 // Put stores the state of an incarnation, unless nothing in it is in effect. The oldest
 // entry is evicted if there are too many.
-func (b *StateCache) Put(now time.Time, start uint64, s State) {
+func (c *StateCache) Put(now time.Time, start uint64, s State) {
 	if !s.Any(now) {
 		return
 	}
-	if b.entries == nil {
-		b.entries = make(map[uint64]bookEntry)
+	if c.entries == nil {
+		c.entries = make(map[uint64]cacheEntry)
 	}
-	b.entries[start] = bookEntry{state: s, at: now}
-	if len(b.entries) > maxEntries {
-		b.evict(now)
+	c.entries[start] = cacheEntry{state: s, at: now}
+	if len(c.entries) > maxEntries {
+		c.evict(now)
 	}
 }
 
 // Get returns the stored state of an incarnation.
-func (b *StateCache) Get(now time.Time, start uint64) State {
-	e, ok := b.entries[start]
+func (c *StateCache) Get(now time.Time, start uint64) State {
+	e, ok := c.entries[start]
 	if !ok || now.Sub(e.at) > retention {
 		return State{}
 	}
@@ -49,20 +49,20 @@
 }
 
 // evict drops the expired entries, and the oldest one if there are still too many.
-func (b *StateCache) evict(now time.Time) {
+func (c *StateCache) evict(now time.Time) {
 	var oldest uint64
 	oldestAt := now.Add(1)
-	for start, e := range b.entries {
+	for start, e := range c.entries {
 		if now.Sub(e.at) > retention {
-			delete(b.entries, start)
+			delete(c.entries, start)
 			continue
 		}
 		if e.at.Before(oldestAt) {
 			oldest, oldestAt = start, e.at
 		}
 	}
-	if len(b.entries) > maxEntries {
-		delete(b.entries, oldest)
+	if len(c.entries) > maxEntries {
+		delete(c.entries, oldest)
 	}
 }
 
--- a/internal/core/notice/state_test.go
+++ b/internal/core/notice/state_test.go
@@ -12,7 +12,7 @@
 // at returns the time so many seconds after t0.
 func at(s float64) time.Time { return t0.Add(time.Duration(s * float64(time.Second))) }
 
-func backoff(s float64) Notice { return Notice{Rest: time.Duration(s * float64(time.Second))} }
+func backoff(s float64) Notice { return Notice{Backoff: time.Duration(s * float64(time.Second))} }
 
 func TestBackoff(t *testing.T) {
 	type step struct {
@@ -132,10 +132,10 @@
 		leaving := false
 		for i := 0; i+1 < len(steps); i += 2 {
 			now = now.Add(time.Duration(steps[i]) * 10 * time.Millisecond)
-			n := Notice{Leaving: steps[i+1] == 255, Rest: time.Duration(steps[i+1]%100) * time.Second}
+			n := Notice{Leaving: steps[i+1] == 255, Backoff: time.Duration(steps[i+1]%100) * time.Second}
 			s = s.With(now, n)
 			leaving = leaving || n.Leaving
-			if end := now.Add(n.Rest); end.After(until) {
+			if end := now.Add(n.Backoff); end.After(until) {
 				until = end
 			}
 			if s.Leaving() != leaving || s.Closed(now) != (leaving || now.Before(until)) {
--- a/internal/core/occupancy/doc.go
+++ b/internal/core/occupancy/doc.go
@@ -12,13 +12,13 @@
 //
 // # Usage
 //
-//	b := occupancy.New()
-//	b.SetOwn(loads)
+//	t := occupancy.New()
+//	t.SetOwn(loads)
 //	if relay {
-//		b.RecordMember(now, address, theirs)
-//		answer := b.For(now, address)
+//		t.RecordMember(now, address, theirs)
+//		answer := t.For(now, address)
 //	} else {
-//		b.RecordOthers(now, answerOfRelay)
+//		t.RecordOthers(now, answerOfRelay)
 //	}
-//	others, ok := b.Others(now, relay)
+//	others, ok := t.Others(now, relay)
 package occupancy
--- a/internal/core/occupancy/occupancy_test.go
+++ b/internal/core/occupancy/occupancy_test.go
@@ -44,11 +44,11 @@
 func TestExpiredReports(t *testing.T) {
 	tests := []struct {
 		name   string
-		record func(b *Book)
+		record func(b *Tracker)
 	}{
-		{"of a member", func(b *Book) { b.RecordMember(t0, "m", requests(3)) }},
-		{"of a zone", func(b *Book) { b.RecordZone(t0, "z", requests(3)) }},
-		{"of the relay", func(b *Book) { b.RecordOthers(t0, requests(3)) }},
+		{"of a member", func(b *Tracker) { b.RecordMember(t0, "m", requests(3)) }},
+		{"of a zone", func(b *Tracker) { b.RecordZone(t0, "z", requests(3)) }},
+		{"of the relay", func(b *Tracker) { b.RecordOthers(t0, requests(3)) }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -56,10 +56,10 @@
 			b := New()
 			tt.record(b)
 			for _, relay := range []bool{true, false} {
-				_, ok := b.Others(t0.Add(b.Keep()+time.Millisecond), relay)
+				_, ok := b.Others(t0.Add(b.TTL()+time.Millisecond), relay)
 				is.True(!ok)
 			}
-			is.Equal(len(b.For(t0.Add(b.Keep()+time.Millisecond), "")), 0)
+			is.Equal(len(b.For(t0.Add(b.TTL()+time.Millisecond), "")), 0)
 		})
 	}
 }
@@ -125,7 +125,7 @@
 		is.Equal(MemberInterval(tt.members), tt.every)
 		b := New()
 		b.SetIntervals(IntervalsFor(tt.members, tt.members, false))
-		is.True(b.Keep() >= 3*tt.every)
+		is.True(b.TTL() >= 3*tt.every)
 	}
 }
 
@@ -212,7 +212,7 @@
 			exchangedAt := t0
 			for ms := range 3000 {
 				now := at(ms)
-				asks := func(book *Book, zone string) bool { return !book.RecentlyExchanged(now, zone, every) }
+				asks := func(book *Tracker, zone string) bool { return !book.RecentlyExchanged(now, zone, every) }
 				if (ms%100 == 0 && asks(a, "b")) || (ms%100 == 10*offset && asks(b, "a")) {
 					calls++
 					a.RecordZone(now, "b", requests(1))
--- a/internal/core/occupancy/report_set_test.go
+++ b/internal/core/occupancy/report_set_test.go
@@ -56,7 +56,7 @@
 		want := make(Loads)
 		except := fmt.Sprint("m", rng.IntN(members))
 		for address, r := range reports {
-			if address != except && now.Sub(r.at) <= b.Keep() {
+			if address != except && now.Sub(r.at) <= b.TTL() {
 				want.add(r.loads)
 			}
 		}
--- a/internal/core/overload/overload.go
+++ b/internal/core/overload/overload.go
@@ -35,7 +35,7 @@
 //	if retryAfter := queue.CheckAdmission(now, overload.AdmissionRequest{Target: target, Wait: wait}); retryAfter > 0 {
 //		refuse(retryAfter)
 //	}
-//	queue.Began(now, waited)
+//	queue.ResponseStarted(now, waited)
 package overload
 
 import (
@@ -96,8 +96,8 @@
 	// waiting; it is called only if it decides.
 	Wait    time.Duration
 	Pending func() time.Duration
-	// Completion is the expected time from now until its answer is complete, and Left how
-	// long its caller still waits; both are 0 if unknown.
+	// Completion is the expected time from now until its answer is complete, and TimeLeft
+	// how long its caller still waits; both are 0 if unknown.
 	Completion time.Duration
 	TimeLeft   time.Duration
 	// Organisation is the caller's organisation, Tokens the number of tokens that the
@@ -120,8 +120,8 @@
 	shares    shares
 }
 
-// Began records the time until the first event of a request of the least urgent tier.
-func (q *Queue) Began(now time.Time, waited time.Duration) {
+// ResponseStarted records the time until the first event of a request of the least urgent tier.
+func (q *Queue) ResponseStarted(now time.Time, waited time.Duration) {
 	if q.ownWaitAt.IsZero() || now.Sub(q.ownWaitAt) > ownWaitRetention {
 		q.ownWait = waited
 	}
--- a/internal/core/overload/overload_test.go
+++ b/internal/core/overload/overload_test.go
@@ -63,7 +63,7 @@
 				q.CheckAdmission(now, request(wait, 0))
 			}
 			if tt.ownWait > 0 {
-				q.Began(now, tt.ownWait)
+				q.ResponseStarted(now, tt.ownWait)
 			}
 			is.Equal(q.CheckAdmission(now.Add(100*ms), tt.request) > 0, tt.reject)
 		})
@@ -99,7 +99,7 @@
 func TestOldWaitsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	var q Queue
-	q.Began(t0, time.Second)
+	q.ResponseStarted(t0, time.Second)
 	is.True(q.CheckAdmission(at(4900), request(time.Minute, 0)) > 0)
 	is.Equal(q.CheckAdmission(at(5100), request(time.Minute, 0)), time.Duration(0))
 }
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -38,9 +38,9 @@
 type Bound struct {
 	// Rate is the sustained number of requests per second.
 	Rate float64
-	// Most is the maximum number of requests in any Window.
-	Most   float64
-	Window time.Duration
+	// MaxRequests is the maximum number of requests in any Window.
+	MaxRequests float64
+	Window      time.Duration
 }
 
 // Policy says how much of a bound is used and by how many gateways.
@@ -70,11 +70,11 @@
 func (p Policy) Divide(b Bound) Split {
 	window := b.Window.Seconds()
 	rate := p.Utilisation * b.Rate
-	room := b.Most/p.Views - window*rate
+	room := b.MaxRequests/p.Views - window*rate
 	holders := max(1, int(math.Floor(min(room, float64(p.Holders)))))
-	left := b.Most/p.Views - float64(holders)
+	left := b.MaxRequests/p.Views - float64(holders)
 	if left <= 0 {
-		left = b.Most - float64(holders)
+		left = b.MaxRequests - float64(holders)
 	}
 	if rate = min(rate, left/window); rate <= 0 {
 		return Split{}
@@ -84,8 +84,8 @@
 
 // Share is the part of one holder.
 type Share struct {
-	// Every is the time in which one token is added.
-	Every time.Duration
+	// Interval is the time in which one token is added.
+	Interval time.Duration
 	// Burst is the capacity of the bucket in tokens, at least 1.
 	Burst float64
 }
@@ -97,13 +97,13 @@
 	if s.Rate <= 0 {
 		return Share{}
 	}
-	every := time.Duration(n / s.Rate * float64(time.Second))
-	most := 1 + float64(burstTime)/float64(every)
-	return Share{Every: every, Burst: min(max(1, s.Burst/n), most)}
+	interval := time.Duration(n / s.Rate * float64(time.Second))
+	maxBurst := 1 + float64(burstTime)/float64(interval)
+	return Share{Interval: interval, Burst: min(max(1, s.Burst/n), maxBurst)}
 }
 
 // fillTime is the time in which an empty bucket fills.
-func (s Share) fillTime() time.Duration { return time.Duration(s.Burst * float64(s.Every)) }
+func (s Share) fillTime() time.Duration { return time.Duration(s.Burst * float64(s.Interval)) }
 
 // Bucket is the token bucket of one holder. The zero value is full.
 type Bucket struct {
@@ -114,14 +114,14 @@
 // NewBucket returns a bucket with a number of tokens.
 func NewBucket(now time.Time, s Share, tokens float64) Bucket {
 	missing := max(0, s.Burst-tokens)
-	return Bucket{fullAt: now.Add(time.Duration(missing * float64(s.Every)))}
+	return Bucket{fullAt: now.Add(time.Duration(missing * float64(s.Interval)))}
 }
 
 // Next is the time of the next token, in the past if one is available.
-func (b Bucket) Next(s Share) time.Time { return b.fullAt.Add(s.Every - s.fillTime()) }
+func (b Bucket) Next(s Share) time.Time { return b.fullAt.Add(s.Interval - s.fillTime()) }
 
 // Has reports whether a token is available.
-func (b Bucket) Has(now time.Time, s Share) bool { return s.Every > 0 && !now.Before(b.Next(s)) }
+func (b Bucket) Has(now time.Time, s Share) bool { return s.Interval > 0 && !now.Before(b.Next(s)) }
 
 // Take returns the bucket with one token less.
 func (b Bucket) Take(now time.Time, s Share) Bucket {
@@ -129,15 +129,15 @@
 	if now.After(from) {
 		from = now
 	}
-	return Bucket{fullAt: from.Add(s.Every)}
+	return Bucket{fullAt: from.Add(s.Interval)}
 }
 
 // WithShare returns the bucket adapted to another share: it lacks as many tokens as before,
 // up to the burst of the new share.
 func (b Bucket) WithShare(now time.Time, before, after Share) Bucket {
-	if before.Every <= 0 {
+	if before.Interval <= 0 {
 		return NewBucket(now, after, 0)
 	}
-	missing := max(0, float64(b.fullAt.Sub(now))/float64(before.Every))
+	missing := max(0, float64(b.fullAt.Sub(now))/float64(before.Interval))
 	return NewBucket(now, after, max(0, after.Burst-missing))
 }
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -24,7 +24,7 @@
 
 // limitOf returns the bound of an upstream that announces a limit.
 func limitOf(perSecond float64) quota.Bound {
-	return quota.Bound{Rate: max(perSecond, 0.25), Most: 6*perSecond + 5, Window: 4 * time.Second}
+	return quota.Bound{Rate: max(perSecond, 0.25), MaxRequests: 6*perSecond + 5, Window: 4 * time.Second}
 }
 
 // Checks the number of holders and the used fraction of the rate for several bounds.
@@ -42,9 +42,9 @@
 		{policy, limitOf(10), 18, 0.9},
 		{policy, limitOf(50), 74, 0.9},
 		{policy, limitOf(1e12), 1 << 20, 0.9},
-		{cautious, quota.Bound{Rate: 13, Most: 13*1.5 + 5, Window: time.Second}, 2, 0.75},
-		{cautious, quota.Bound{Rate: 1, Most: 2, Window: time.Second}, 1, 0.75},
-		{cautious, quota.Bound{Rate: 0.5, Most: 1.5, Window: time.Second}, 1, 0.75},
+		{cautious, quota.Bound{Rate: 13, MaxRequests: 13*1.5 + 5, Window: time.Second}, 2, 0.75},
+		{cautious, quota.Bound{Rate: 1, MaxRequests: 2, Window: time.Second}, 1, 0.75},
+		{cautious, quota.Bound{Rate: 0.5, MaxRequests: 1.5, Window: time.Second}, 1, 0.75},
 	}
 	for _, tt := range tests {
 		t.Run(fmt.Sprint(tt.bound), func(t *testing.T) {
@@ -52,12 +52,12 @@
 			s := tt.policy.Divide(tt.bound)
 			is.Equal(s.Holders, tt.holders)
 			is.True(s.Rate <= tt.used*tt.bound.Rate+1e-9)
-			is.True(s.Rate >= 0.99*min(tt.used*tt.bound.Rate, tt.bound.Most-1))
-			is.True(s.Burst+s.Rate*tt.bound.Window.Seconds() <= tt.bound.Most+1e-6)
+			is.True(s.Rate >= 0.99*min(tt.used*tt.bound.Rate, tt.bound.MaxRequests-1))
+			is.True(s.Burst+s.Rate*tt.bound.Window.Seconds() <= tt.bound.MaxRequests+1e-6)
 		})
 	}
 	is := is.New(t)
-	is.Equal(cautious.Divide(quota.Bound{Rate: 0.5, Most: 0.9, Window: time.Second}), quota.Split{}) // not even one request at a time
+	is.Equal(cautious.Divide(quota.Bound{Rate: 0.5, MaxRequests: 0.9, Window: time.Second}), quota.Split{}) // not even one request at a time
 	is.True(!quota.Bucket{}.Has(t0, quota.Split{}.Share(1)))
 }
 
@@ -65,7 +65,7 @@
 // long it is idle, and an empty one yields the first token after one interval.
 func TestBucket(t *testing.T) {
 	is := is.New(t)
-	s := quota.Share{Every: time.Second, Burst: 2}
+	s := quota.Share{Interval: time.Second, Burst: 2}
 	b := quota.NewBucket(t0, s, 0)
 	is.True(quota.NewBucket(t0, s, 1).Has(t0, s))
 	is.True(!b.Has(t0.Add(999*time.Millisecond), s))
@@ -77,9 +77,9 @@
 	}
 	is.True(!b.Has(later, s))
 	is.Equal(b.Next(s), later.Add(time.Second))
-	fast := quota.Share{Every: 10 * time.Millisecond, Burst: 2}
+	fast := quota.Share{Interval: 10 * time.Millisecond, Burst: 2}
 	is.True(b.WithShare(later, s, fast).Has(later.Add(10*time.Millisecond), fast)) // a higher rate applies at once
-	slow := quota.Share{Every: 10 * time.Second, Burst: 2}
+	slow := quota.Share{Interval: 10 * time.Second, Burst: 2}
 	is.True(!b.WithShare(later, s, slow).Has(later.Add(9*time.Second), slow)) // and so does a lower one
 	is.True(b.WithShare(later, s, slow).WithShare(later, slow, s).Has(later.Add(time.Second), s))
 }
@@ -313,8 +313,8 @@
 						}
 					}
 					used := float64(late) / float64(tt.runs) / (length / 2).Seconds() / bound.Rate
-					t.Logf("at most %d in %v of %.1f allowed, used %.2f", most, bound.Window, bound.Most, used)
-					is.True(float64(most) <= bound.Most)
+					t.Logf("at most %d in %v of %.1f allowed, used %.2f", most, bound.Window, bound.MaxRequests, used)
+					is.True(float64(most) <= bound.MaxRequests)
 					if isCalm && tt.gateways > 1 {
 						// Up to one token of each holder is used after the end.
 						tolerance := float64(split.Holders) / (length / 2).Seconds() / bound.Rate
@@ -359,6 +359,6 @@
 			}
 		}
 	}
-	t.Logf("%d runs, at most %d in %v of %.1f allowed", runs, most, bound.Window, bound.Most)
-	is.True(float64(most) <= bound.Most)
+	t.Logf("%d runs, at most %d in %v of %.1f allowed", runs, most, bound.Window, bound.MaxRequests)
+	is.True(float64(most) <= bound.MaxRequests)
 }
--- a/internal/core/reader/bounds.go
+++ b/internal/core/reader/bounds.go
@@ -38,11 +38,11 @@
 
 // Bounds limit how old a gateway's view of the store may be; 0 means no limit.
 type Bounds struct {
-	// KeyAge is the age of the view up to which keys are accepted.
-	KeyAge time.Duration
-	// ListAge is the age of the view up to which the upstream list is used without
+	// MaxKeyAge is the age of the view up to which keys are accepted.
+	MaxKeyAge time.Duration
+	// MaxListAge is the age of the view up to which the upstream list is used without
 	// querying the store.
-	ListAge time.Duration
+	MaxListAge time.Duration
 	// MaxConfigDelay is the time within which a new configuration must be in force.
 	MaxConfigDelay time.Duration
 }
@@ -52,11 +52,11 @@
 // configuration in any case.
 func (b Bounds) DefaultWatchWait() time.Duration {
 	wait := maxWatchWait
-	if b.KeyAge > 0 {
-		wait = min(wait, time.Duration(keyWatchShare*float64(b.KeyAge)))
+	if b.MaxKeyAge > 0 {
+		wait = min(wait, time.Duration(keyWatchShare*float64(b.MaxKeyAge)))
 	}
-	if b.ListAge > 0 {
-		wait = min(wait, time.Duration(listWatchShare*float64(b.ListAge)))
+	if b.MaxListAge > 0 {
+		wait = min(wait, time.Duration(listWatchShare*float64(b.MaxListAge)))
 	}
 	if b.MaxConfigDelay > 0 {
 		wait = min(wait, time.Duration(configWatchShare*float64(b.MaxConfigDelay)))
@@ -71,8 +71,8 @@
 // untilStale returns the time until the view is too old to wait for a parent.
 func (b Bounds) untilStale(v View) time.Duration {
 	limit := time.Duration(staleFactor * float64(b.DefaultWatchWait()))
-	if b.ListAge > 0 {
-		limit = min(limit, b.ListAge)
+	if b.MaxListAge > 0 {
+		limit = min(limit, b.MaxListAge)
 	}
 	return limit - v.Age
 }
@@ -85,8 +85,8 @@
 	if !v.InForce {
 		return usual
 	}
-	least := time.Duration(minWatchShare * float64(usual))
-	return min(usual, max(least, usual-v.Age))
+	shortest := time.Duration(minWatchShare * float64(usual))
+	return min(usual, max(shortest, usual-v.Age))
 }
 
 // MaxQueryInterval returns the longest interval between the starts of two queries to the
--- a/internal/core/reader/query.go
+++ b/internal/core/reader/query.go
@@ -7,8 +7,8 @@
 
 // Kinds of queries.
 const (
-	// Pause queries nothing for a while.
-	Pause Kind = iota
+	// Sleep queries nothing for a while.
+	Sleep Kind = iota
 	// QueryPeer queries another gateway.
 	QueryPeer
 	// List reads everything that the store holds.
--- a/internal/core/reader/reader.go
+++ b/internal/core/reader/reader.go
@@ -24,7 +24,7 @@
 //			// query the gateway at q.Address, then r.PeerAnswered(now) or r.PeerFailed(known)
 //		case reader.List, reader.Watch:
 //			// query the store, then r.StoreAnswered(now) or r.StoreFailed(now, random)
-//		case reader.Pause:
+//		case reader.Sleep:
 //			// wait for q.Wait
 //		}
 //	}
@@ -89,7 +89,7 @@
 func (r *Reader) Next(now time.Time, v View, b Bounds, f *fleet.Fleet, random uint64) Query {
 	due := r.queryDue(now, v, b, random)
 	if left := r.pauseUntil.Sub(now); left > 0 && !due {
-		return Query{Kind: Pause, Wait: r.capToDeadline(now, left)}
+		return Query{Kind: Sleep, Wait: r.capToDeadline(now, left)}
 	}
 	if !v.Known || !due {
 		if q, ok := r.peer(now, v, b, f, random); ok {
@@ -98,7 +98,7 @@
 	}
 	r.storeNext = false
 	if !v.Known && f.DefersStoreRead(now) {
-		return Query{Kind: Pause, Wait: bootstrapPause + randomFraction(bootstrapPause, random)}
+		return Query{Kind: Sleep, Wait: bootstrapPause + randomFraction(bootstrapPause, random)}
 	}
 	return r.store(now, v, b, random)
 }
--- a/internal/core/reader/reader_test.go
+++ b/internal/core/reader/reader_test.go
@@ -24,7 +24,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			b := Bounds{KeyAge: 5 * time.Second}
+			b := Bounds{MaxKeyAge: 5 * time.Second}
 			is.Equal(b.DefaultWatchWait(), 2500*time.Millisecond)
 			share := float64(b.nextWatchWait(View{InForce: true, Age: tt.age})) / float64(b.DefaultWatchWait())
 			is.True(share >= tt.least && share <= tt.most)
--- a/internal/core/reader/recovery_test.go
+++ b/internal/core/reader/recovery_test.go
@@ -12,7 +12,7 @@
 // boundsWithin returns the bounds of a deployment whose configurations must be in force
 // within the given time.
 func boundsWithin(config time.Duration) Bounds {
-	return Bounds{KeyAge: 3800 * time.Millisecond, ListAge: config - 250*time.Millisecond, MaxConfigDelay: config}
+	return Bounds{MaxKeyAge: 3800 * time.Millisecond, MaxListAge: config - 250*time.Millisecond, MaxConfigDelay: config}
 }
 
 // every returns the multiples of gap before the end.
--- a/internal/core/reader/simulation_test.go
+++ b/internal/core/reader/simulation_test.go
@@ -265,7 +265,7 @@
 	w.schedule(m, incarnation, w.now, func() {
 		q := m.reader.Next(w.now, w.view(m), w.bounds, m.fleet, w.rng.Uint64())
 		switch q.Kind {
-		case Pause:
+		case Sleep:
 			w.schedule(m, incarnation, w.now.Add(q.Wait), func() { w.step(m, incarnation) })
 		case QueryPeer:
 			w.queryPeer(m, w.list[w.index[q.Address]], q)
--- a/internal/core/route/health.go
+++ b/internal/core/route/health.go
@@ -44,8 +44,8 @@
 	u.loadAt = now
 }
 
-// Settled records that an offer was answered in any way.
-func (t *Table) Settled(id string) {
+// OfferAnswered records that an offer was answered in any way.
+func (t *Table) OfferAnswered(id string) {
 	if u, ok := t.hosts[id]; ok && u.pending > 0 {
 		u.pending--
 	}
--- a/internal/core/route/pick.go
+++ b/internal/core/route/pick.go
@@ -138,6 +138,6 @@
 	if u.load.FreeSlots == 0 && wait == 0 {
 		wait = time.Millisecond
 	}
-	trust := 1 - float64(age)/float64(staleAfter)
-	return time.Duration(trust*float64(wait) + (1-trust)*float64(defaultWait))
+	confidence := 1 - float64(age)/float64(staleAfter)
+	return time.Duration(confidence*float64(wait) + (1-confidence)*float64(defaultWait))
 }
--- a/internal/core/route/route_test.go
+++ b/internal/core/route/route_test.go
@@ -71,7 +71,7 @@
 	tab.Answered(t0, "agent-0", load(time.Minute))
 	tab.Answered(t0, "agent-1", load(0))
 	is.Equal(tab.Pick(t0, Request{Pool: "pool-0", Tier: 1}, 1)[0].ID, "agent-1")
-	tab.Settled("agent-1")
+	tab.OfferAnswered("agent-1")
 	later := t0.Add(staleAfter)
 	tab.Answered(later, "agent-1", load(time.Second))
 	is.Equal(tab.Pick(later, Request{Pool: "pool-0", Tier: 1}, 1)[0].ID, "agent-0")
@@ -147,7 +147,7 @@
 	r := Request{Pool: "pool-0", Tier: 1, Prefix: 77}
 	owner := tab.Pick(t0, r, 1)[0].ID
 	for range 10 {
-		tab.Settled(owner)
+		tab.OfferAnswered(owner)
 		is.Equal(tab.Pick(t0, r, 1)[0].ID, owner)
 	}
 	tab.Answered(t0, owner, load(10*time.Second))
@@ -162,7 +162,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				for _, h := range tab.Pick(t0, r, 2) {
-					tab.Settled(h.ID)
+					tab.OfferAnswered(h.ID)
 				}
 			}
 		})
--- a/internal/core/spread/spread.go
+++ b/internal/core/spread/spread.go
@@ -29,8 +29,8 @@
 	// own zone.
 	ZonePeers  = 4
 	OtherPeers = 2
-	// ExchangeEvery is the time between two exchanges with a peer.
-	ExchangeEvery = time.Second
+	// ExchangeInterval is the time between two exchanges with a peer.
+	ExchangeInterval = time.Second
 	// SilentAfter is the time without a response from any peer or the platform after which
 	// a process reads the platform directly.
 	SilentAfter = 10 * time.Second
@@ -38,8 +38,8 @@
 	// processes, from which a process watches the platform itself: two watch intervals plus
 	// the propagation time in a large fleet.
 	MaxProofAge = 45 * time.Second
-	// DirectWatchFor is how long it then watches the platform.
-	DirectWatchFor = 10 * time.Minute
+	// DirectWatchPeriod is how long it then watches the platform.
+	DirectWatchPeriod = 10 * time.Minute
 	// Lease is the longest pause after which a process still trusts its last confirmation.
 	Lease = 10 * time.Second
 )
@@ -148,7 +148,7 @@
 // may have lost the platform at the same time while it still serves others.
 func (f *Freshness) WatchesDirectly(now time.Time) bool {
 	if now.Sub(f.provenAt) > MaxProofAge {
-		f.directUntil = now.Add(DirectWatchFor)
+		f.directUntil = now.Add(DirectWatchPeriod)
 	}
 	return now.Before(f.directUntil)
 }
--- a/internal/core/suspect/doc.go
+++ b/internal/core/suspect/doc.go
@@ -25,6 +25,6 @@
 //	}
 //	r.RecordCrash(now, fingerprint, start, ran) // the instance crashed while running it
 //	r.RecordSuccess(now, fingerprint)           // it was answered, or ran for long enough
-//	m := r.Tell(peer, false)                    // message to another gateway
-//	r.Hear(now, peer, m, 0)
+//	m := r.NextMessage(peer, false)             // message to another gateway
+//	r.Receive(now, peer, m, 0)
 package suspect
--- a/internal/core/suspect/fuzz_test.go
+++ b/internal/core/suspect/fuzz_test.go
@@ -26,12 +26,12 @@
 				Ran:     time.Duration(data[9]) * time.Hour,
 			}
 			position := Position{Epoch: uint64(data[0]), At: binary.BigEndian.Uint64(data[2:])}
-			r.Hear(now, "a", Message{Words: []Observation{w}, After: position, Upto: position, Heard: position}, 0)
+			r.Receive(now, "a", Message{Words: []Observation{w}, After: position, Upto: position, Heard: position}, 0)
 			now = now.Add(time.Second)
 			if r.Check(now, w.Print) == Blocked {
 				t.Fatal("blocked on the report of one witness")
 			}
-			if r.Known() > maxRecords || len(r.Tell("a", false).Words) > maxPerMessage {
+			if r.Known() > maxRecords || len(r.NextMessage("a", false).Words) > maxPerMessage {
 				t.Fatal("size limits exceeded")
 			}
 		}
--- a/internal/core/suspect/known_good.go
+++ b/internal/core/suspect/known_good.go
@@ -7,10 +7,10 @@
 
 // Time and size limits of the known-good requests.
 const (
-	// knownGoodFor is the minimum time that a response protects a request: a popular
+	// knownGoodPeriod is the minimum time that a response protects a request: a popular
 	// request is answered again in the meantime. If an answered request begins to crash
 	// upstreams, blocking it is delayed by up to twice this time after its last response.
-	knownGoodFor = 30 * time.Second
+	knownGoodPeriod = 30 * time.Second
 	// maxKnownGood bounds the requests that are kept in that time, at about 20 bytes each.
 	maxKnownGood = 4096
 )
@@ -26,11 +26,11 @@
 // rotate drops expired entries.
 func (k *knownGood) rotate(now time.Time) {
 	age := now.Sub(k.rotatedAt)
-	if k.current != nil && age < knownGoodFor {
+	if k.current != nil && age < knownGoodPeriod {
 		return
 	}
 	k.previous = k.current
-	if age >= 2*knownGoodFor {
+	if age >= 2*knownGoodPeriod {
 		k.previous = nil
 	}
 	k.current = make(map[uint64]struct{})
--- a/internal/core/suspect/observation.go
+++ b/internal/core/suspect/observation.go
@@ -111,9 +111,9 @@
 	return p
 }
 
-// Tell returns the next message to the gateway at the address. If ownOnly is set, it leaves
+// NextMessage returns the next message to the gateway at the address. If ownOnly is set, it leaves
 // out observations received from others.
-func (r *Registry) Tell(address string, ownOnly bool) Message {
+func (r *Registry) NextMessage(address string, ownOnly bool) Message {
 	p := r.peer(address)
 	words, upto := r.log.since(p.acked, func(o Observation) bool { return !ownOnly || o.Witness == r.self })
 	return Message{
@@ -124,10 +124,10 @@
 	}
 }
 
-// Hear processes a message. All observations of a member of the availability zone are
+// Receive processes a message. All observations of a member of the availability zone are
 // attributed to it as one witness, whatever it reports: witness is its hash, or 0 to keep
 // the witnesses in the message. It returns the requests with new evidence.
-func (r *Registry) Hear(now time.Time, address string, m Message, witness uint64) []Print {
+func (r *Registry) Receive(now time.Time, address string, m Message, witness uint64) []Print {
 	p := r.peer(address)
 	p.acked = 0
 	if m.Heard.Epoch == r.log.epoch {
--- a/internal/core/suspect/registry.go
+++ b/internal/core/suspect/registry.go
@@ -10,12 +10,12 @@
 
 // Time and size limits of the registry.
 const (
-	// blockFor is how long a request stays blocked after its third crash. After that one
+	// minBlockTime is how long a request stays blocked after its third crash. After that one
 	// more run may show that it does no harm any more: upstreams get fixed, and a common
 	// request that was present at three crashes in a row by chance must not be refused for
-	// long. The time doubles with each further crash, up to blockMost.
-	blockFor  = time.Minute
-	blockMost = 10 * time.Minute
+	// long. The time doubles with each further crash, up to maxBlockTime.
+	minBlockTime = time.Minute
+	maxBlockTime = 10 * time.Minute
 	// retention is how long a request is kept after its last crash.
 	retention = 30 * time.Minute
 	// maxRecords bounds the requests that are kept, at about 300 bytes each. A crash of one
@@ -117,7 +117,7 @@
 
 // blockTime is how long a request is blocked after the last of n crashes.
 func blockTime(n int) time.Duration {
-	return min(blockFor<<(n-blockAt), blockMost)
+	return min(minBlockTime<<(n-blockAt), maxBlockTime)
 }
 
 // explained reports whether another request was present at all crashes of this one and at
@@ -219,14 +219,14 @@
 	if len(r.records) < maxRecords {
 		return
 	}
-	var least Print
+	var lowest Print
 	var worst *record
 	for p, rec := range r.records {
 		if worst == nil || compareForEviction(rec, worst) < 0 {
-			least, worst = p, rec
+			lowest, worst = p, rec
 		}
 	}
-	delete(r.records, least)
+	delete(r.records, lowest)
 }
 
 // Sweep drops the requests without a crash during the retention time.
--- a/internal/core/suspect/registry_test.go
+++ b/internal/core/suspect/registry_test.go
@@ -42,7 +42,7 @@
 		now := after(w.at)
 		switch {
 		case w.witness != 0:
-			r.Hear(now, fmt.Sprint(w.witness), Message{Words: []Observation{{
+			r.Receive(now, fmt.Sprint(w.witness), Message{Words: []Observation{{
 				Print: fingerprintFor(w.print), Round: w.round, Start: w.start, Witness: w.witness, At: now, Ran: w.duration(),
 			}}}, 0)
 		case w.start == 0:
@@ -124,7 +124,7 @@
 	before := NewRegistry(1, 1)
 	feed(before, []observation{{1, "p", 1, 0, 0, 0}, {2, "p", 2, 0, 0, 0}, {3, "p", 3, 0, 0, 0}})
 	now := NewRegistry(1, 2)
-	now.Hear(after(4), "relay", before.Tell("a", false), 0)
+	now.Receive(after(4), "relay", before.NextMessage("a", false), 0)
 	is.Equal(now.Check(after(4), fingerprintFor("p")), Quarantined)
 	feed(now, []observation{{5, "p", 4, 0, 0, 0}})
 	is.Equal(now.Check(after(6), fingerprintFor("p")), Blocked)
@@ -142,10 +142,10 @@
 	is.Equal(r.Known(), maxRecords)
 	is.Equal(r.Crashes(fingerprintFor("p")), 3)
 	is.Equal(r.Check(after(60), fingerprintFor("p")), Blocked)
-	is.True(len(r.Tell("a", false).Words) <= maxPerMessage)
+	is.True(len(r.NextMessage("a", false).Words) <= maxPerMessage)
 	is.Equal(len(r.log.entries), maxLogEntries)
 	for i := range 3 * maxPeers {
-		r.Tell(fmt.Sprint(i), false)
+		r.NextMessage(fmt.Sprint(i), false)
 	}
 	is.True(len(r.peers) <= maxPeers)
 	r.Sweep(after(4000))
@@ -159,11 +159,11 @@
 	relay := NewRegistry(1, 1)
 	feed(relay, []observation{{1, "p", 1, 0, 0, 0}, {2, "p", 2, 0, 7, 0}, {3, "p", 3, 0, 8, 0}})
 	exchange := func(g *Registry) {
-		if req := g.Tell("relay", true); !req.Empty() {
-			relay.Hear(after(4), "g", req, 9)
+		if req := g.NextMessage("relay", true); !req.Empty() {
+			relay.Receive(after(4), "g", req, 9)
 		}
-		if resp := relay.Tell("g", false); !resp.Empty() {
-			g.Hear(after(4), "relay", resp, 0)
+		if resp := relay.NextMessage("g", false); !resp.Empty() {
+			g.Receive(after(4), "relay", resp, 0)
 		}
 	}
 	for epoch := range uint64(3) {
@@ -192,17 +192,17 @@
 		exchange := func(now time.Time, i int, reliable bool) {
 			name := fmt.Sprint("m", i)
 			lost := func() bool { return !reliable && rng.Float64() < 0.4 }
-			req := all[i].Tell("relay", true)
+			req := all[i].NextMessage("relay", true)
 			if lost() {
 				return
 			}
-			relay.Hear(now, name, req, uint64(i+100))
+			relay.Receive(now, name, req, uint64(i+100))
 			if rng.Float64() < 0.2 {
-				late = append(late, func(now time.Time) { relay.Hear(now, name, req, uint64(i+100)) })
+				late = append(late, func(now time.Time) { relay.Receive(now, name, req, uint64(i+100)) })
 			}
-			resp := relay.Tell(name, false)
+			resp := relay.NextMessage(name, false)
 			if !lost() {
-				all[i].Hear(now, "relay", resp, 0)
+				all[i].Receive(now, "relay", resp, 0)
 			}
 		}
 		now := t0
--- a/internal/core/suspect/replay_test.go
+++ b/internal/core/suspect/replay_test.go
@@ -111,9 +111,9 @@
 		if r.rng.Float64() < 0.1 {
 			continue
 		}
-		relay.Hear(r.now, name, g.Tell("relay", true), uint64(1000+i))
-		if resp := relay.Tell(name, false); r.rng.Float64() >= 0.1 {
-			g.Hear(r.now, "relay", resp, 0)
+		relay.Receive(r.now, name, g.NextMessage("relay", true), uint64(1000+i))
+		if resp := relay.NextMessage(name, false); r.rng.Float64() >= 0.1 {
+			g.Receive(r.now, "relay", resp, 0)
 		}
 	}
 }
--- a/internal/core/warmup/warmup.go
+++ b/internal/core/warmup/warmup.go
@@ -42,28 +42,28 @@
 	// PerSecond is the number of requests per second that a cold upstream handles; 0 if
 	// it handles as many as a warm one.
 	PerSecond float64
-	// Most is the maximum number of arrivals in any one second; with more it fails.
-	Most float64
-	// For is how long an upstream is cold after its start.
-	For time.Duration
+	// MaxRequests is the maximum number of arrivals in any one second; with more it fails.
+	MaxRequests float64
+	// Period is how long an upstream is cold after its start.
+	Period time.Duration
 }
 
 // Split divides the rate of a cold upstream among its holders.
 type Split struct {
 	// Holders is the number of gateways that may send requests to it; 0 if none may.
 	Holders int
-	// Every is the minimum interval between two requests of one holder.
-	Every time.Duration
+	// Interval is the minimum interval between two requests of one holder.
+	Interval time.Duration
 }
 
 // NewSplit returns the split that keeps the bounds.
 func NewSplit(b Bounds) Split {
 	policy := quota.Policy{Utilisation: usedShare, Views: holderSets, Holders: maxHolders}
-	split := policy.Divide(quota.Bound{Rate: b.PerSecond, Most: b.Most, Window: time.Second})
+	split := policy.Divide(quota.Bound{Rate: b.PerSecond, MaxRequests: b.MaxRequests, Window: time.Second})
 	if split.Holders == 0 {
 		return Split{}
 	}
-	return Split{Holders: split.Holders, Every: split.Share(split.Holders).Every}
+	return Split{Holders: split.Holders, Interval: split.Share(split.Holders).Interval}
 }
 
 // State is what one gateway knows of one upstream. The zero value is warm.
@@ -89,6 +89,6 @@
 
 // Sent returns the state after a holder sent a request.
 func (s State) Sent(now time.Time, split Split) State {
-	s.nextSendAt = now.Add(split.Every)
+	s.nextSendAt = now.Add(split.Interval)
 	return s
 }
--- a/internal/core/warmup/warmup_test.go
+++ b/internal/core/warmup/warmup_test.go
@@ -15,13 +15,13 @@
 
 // bounds are typical limits of pools.
 var bounds = []warmup.Bounds{
-	{PerSecond: 13, Most: 13*1.5 + 5},
-	{PerSecond: 13, Most: 13},
-	{PerSecond: 40, Most: 65},
-	{PerSecond: 3, Most: 3*1.2 + 1},
-	{PerSecond: 1, Most: 2},
-	{PerSecond: 0.5, Most: 1.5},
-	{PerSecond: 200, Most: 200*1.5 + 10},
+	{PerSecond: 13, MaxRequests: 13*1.5 + 5},
+	{PerSecond: 13, MaxRequests: 13},
+	{PerSecond: 40, MaxRequests: 65},
+	{PerSecond: 3, MaxRequests: 3*1.2 + 1},
+	{PerSecond: 1, MaxRequests: 2},
+	{PerSecond: 0.5, MaxRequests: 1.5},
+	{PerSecond: 200, MaxRequests: 200*1.5 + 10},
 }
 
 // A split stays within the bound for one set of holders, and for two sets where there is
@@ -31,14 +31,14 @@
 	for _, b := range bounds {
 		s := warmup.NewSplit(b)
 		is.True(s.Holders >= 1)
-		rate := float64(s.Holders) / s.Every.Seconds()
+		rate := float64(s.Holders) / s.Interval.Seconds()
 		is.True(rate <= b.PerSecond)
-		is.True(float64(s.Holders)+rate <= b.Most+1e-6)
-		if b.Most >= 3 {
-			is.True(2*(float64(s.Holders)+rate) <= b.Most+1e-6)
+		is.True(float64(s.Holders)+rate <= b.MaxRequests+1e-6)
+		if b.MaxRequests >= 3 {
+			is.True(2*(float64(s.Holders)+rate) <= b.MaxRequests+1e-6)
 		}
 	}
-	is.Equal(warmup.NewSplit(warmup.Bounds{PerSecond: 0.5, Most: 0.9}), warmup.Split{}) // not even one request fits
+	is.Equal(warmup.NewSplit(warmup.Bounds{PerSecond: 0.5, MaxRequests: 0.9}), warmup.Split{}) // not even one request fits
 }
 
 // An earlier end never shortens the cold period.
@@ -97,8 +97,8 @@
 				is := is.New(t)
 				for key := range uint64(5) {
 					arrivals := flood(gateways(tt.n, tt.knows), t0.Add(tt.after), key*7919, b)
-					is.True(float64(busiestSecond(arrivals)) <= b.Most)
-					is.True(float64(len(arrivals)) >= tt.least*3*min(b.PerSecond, b.Most/2-1))
+					is.True(float64(busiestSecond(arrivals)) <= b.MaxRequests)
+					is.True(float64(len(arrivals)) >= tt.least*3*min(b.PerSecond, b.MaxRequests/2-1))
 				}
 			})
 		}
--- a/internal/edge/agentd/orders.go
+++ b/internal/edge/agentd/orders.go
@@ -29,7 +29,7 @@
 // reconcileLoop reconciles what the upstream has loaded with the configuration. Plain
 // services load nothing.
 func (s *Server) reconcileLoop(ctx context.Context) error {
-	for loop.Pause(ctx, reconcileInterval) {
+	for loop.Sleep(ctx, reconcileInterval) {
 		p, ok := s.plan()
 		if !ok || p.delayed {
 			continue
--- a/internal/edge/agentd/server.go
+++ b/internal/edge/agentd/server.go
@@ -256,7 +256,7 @@
 func (s *Server) probe(ctx context.Context) error {
 	failures := 0
 	down := false
-	for loop.Pause(ctx, probeInterval) {
+	for loop.Sleep(ctx, probeInterval) {
 		probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 		healthy := s.upstream.Healthy(probeCtx)
 		cancel()
@@ -276,7 +276,7 @@
 // backoff starts a backoff of the duration that the upstream requested.
 func (s *Server) backoff(d time.Duration) {
 	s.o.Log.Warn().Dur("rest", d).Msg("upstream requested a backoff")
-	s.loop.DoWithoutCancel(func(now time.Time) { s.deliver(s.agent.Rest(now, d)) })
+	s.loop.DoWithoutCancel(func(now time.Time) { s.deliver(s.agent.Backoff(now, d)) })
 }
 
 func (s *Server) setDown(down bool) {
--- a/internal/edge/entryd/attempt.go
+++ b/internal/edge/entryd/attempt.go
@@ -120,7 +120,7 @@
 		return
 	}
 	a.settled = true
-	x.s.entry.Settled(a.agent)
+	x.s.entry.OfferAnswered(a.agent)
 	if lost {
 		x.s.entry.AgentFailed(now, a.agent)
 		x.s.metrics.Attempts.WithLabelValues("unanswered").Inc()
--- a/internal/edge/entryd/chat.go
+++ b/internal/edge/entryd/chat.go
@@ -123,7 +123,7 @@
 	if p != nil {
 		return p.write(c)
 	}
-	var out responder = &relay{c: c, writeTimeout: s.o.ReadPatience}
+	var out responder = &relay{c: c, writeTimeout: s.o.ReadTimeout}
 	if !req.Stream && req.streamable() {
 		out = &assembler{c: c}
 		if body, p = enableStreaming(body); p != nil {
--- a/internal/edge/entryd/events.go
+++ b/internal/edge/entryd/events.go
@@ -88,8 +88,8 @@
 	if load == nil {
 		return
 	}
-	x.s.entry.Heard(now, a.agent, convert.LoadFromMessage(load))
-	x.s.sync.Heard(load.GetVersion(), a.address)
+	x.s.entry.RecordReport(now, a.agent, convert.LoadFromMessage(load))
+	x.s.sync.RecordReport(load.GetVersion(), a.address)
 }
 
 func (x *call) onFailed(now time.Time, n int, a *attempt, f *gladegaugev1.Failed) []dispatch.Effect {
--- a/internal/edge/entryd/server.go
+++ b/internal/edge/entryd/server.go
@@ -57,9 +57,9 @@
 	CallerKey  string
 	MaxBody    int
 	DrainGrace time.Duration
-	// ReadPatience is the time within which a caller must read a chunk of the response.
-	ReadPatience time.Duration
-	Log          zerolog.Logger
+	// ReadTimeout is the time within which a caller must read a chunk of the response.
+	ReadTimeout time.Duration
+	Log         zerolog.Logger
 }
 
 // Server is an entry process.
--- a/internal/edge/entryd/service.go
+++ b/internal/edge/entryd/service.go
@@ -47,7 +47,7 @@
 		call: entry.Call{Organisation: o, Class: class, Pool: pool},
 		path: servicePath(c.Request(), pool.Name),
 		body: body,
-		out:  &relay{c: c, writeTimeout: s.o.ReadPatience},
+		out:  &relay{c: c, writeTimeout: s.o.ReadTimeout},
 	})
 }
 
@@ -78,7 +78,7 @@
 	s.loop.DoWithoutCancel(func(now time.Time) {
 		agents = s.entry.Table().Pick(now, route.Request{Pool: call.Pool.Name, Tier: call.Class.Tier}, 2)
 		for _, h := range agents {
-			s.entry.Settled(h.ID)
+			s.entry.OfferAnswered(h.ID)
 		}
 	})
 	for _, h := range agents {
--- a/internal/edge/entryd/suspects.go
+++ b/internal/edge/entryd/suspects.go
@@ -63,7 +63,7 @@
 	}
 	x.s.sync.ReportCrash(suspects.Failure{
 		Print: x.fingerprint(), Request: x.id, Organisation: x.call.Organisation.Name,
-		Start: f.GetEndedStart(), Upstream: a.agent, At: now, Ran: now.Sub(x.claimedAt),
+		IncarnationKey: f.GetEndedStart(), Upstream: a.agent, At: now, Ran: now.Sub(x.claimedAt),
 	})
 	v := x.s.sync.Suspects().Check(now, x.fingerprint())
 	if v != suspect.Free {
--- a/internal/edge/exchange/answer.go
+++ b/internal/edge/exchange/answer.go
@@ -58,7 +58,7 @@
 		_ = a.writer.Wait()
 		return
 	}
-	a.client.keepIdle(a.conn, a.client.o.KeepFor(a.Header))
+	a.client.keepIdle(a.conn, a.client.o.KeepAlive(a.Header))
 }
 
 // Abort ends the exchange and closes its connection, so that the upstream stops processing
--- a/internal/edge/exchange/exchange.go
+++ b/internal/edge/exchange/exchange.go
@@ -42,9 +42,9 @@
 
 // Options are the settings of a client.
 type Options struct {
-	// KeepFor returns how long the upstream keeps an idle connection open, from the headers
+	// KeepAlive returns how long the upstream keeps an idle connection open, from the headers
 	// of its response; 0 if the upstream does not state it.
-	KeepFor func(h http.Header) time.Duration
+	KeepAlive func(h http.Header) time.Duration
 	// OnConnect is called for each new connection.
 	OnConnect func()
 	// Clock returns the present time.
--- a/internal/edge/exchange/exchange_test.go
+++ b/internal/edge/exchange/exchange_test.go
@@ -114,7 +114,7 @@
 func client(c *fakeClock) (*Client, *int) {
 	opened := 0
 	return New(Options{
-		KeepFor:   func(http.Header) time.Duration { return 0 },
+		KeepAlive: func(http.Header) time.Duration { return 0 },
 		OnConnect: func() { opened++ },
 		Clock:     func() time.Time { return c.now },
 	}), &opened
@@ -297,7 +297,7 @@
 	cl := &fakeClock{now: time.Unix(1000, 0)}
 	opened := 0
 	c := New(Options{
-		KeepFor:   func(http.Header) time.Duration { return time.Minute },
+		KeepAlive: func(http.Header) time.Duration { return time.Minute },
 		OnConnect: func() { opened++ },
 		Clock:     func() time.Time { return cl.now },
 	})
--- a/internal/edge/gatewayd/attempt.go
+++ b/internal/edge/gatewayd/attempt.go
@@ -61,7 +61,7 @@
 		return true
 	}
 	now := x.server.now()
-	return !closed.Has(now, choice.Start()) && (choice.Turn || !closed.Limited(now, choice.Start()))
+	return !closed.Has(now, choice.IncarnationKey()) && (choice.Turn || !closed.Limited(now, choice.IncarnationKey()))
 }
 
 // giveBack takes back a choice that nothing was sent to.
@@ -109,7 +109,7 @@
 	x.patience.answerBegan()
 	x.loadTold = true
 	x.server.control.DoWithoutCancel(func(now time.Time) {
-		x.server.table.Began(now, a.choice)
+		x.server.table.ResponseStarted(now, a.choice)
 		if a.head.Load != nil {
 			x.server.table.SetLoad(now, a.choice.ID, *a.head.Load)
 		}
--- a/internal/edge/gatewayd/bounds.go
+++ b/internal/edge/gatewayd/bounds.go
@@ -33,17 +33,17 @@
 
 // admissionBounds returns the bounds of admission.
 func admissionBounds(b platform.Bounds) gateway.Bounds {
-	g := gateway.Bounds{DenyAge: b.ConfigWithin, UrgencySteps: platform.UrgencySteps}
+	g := gateway.Bounds{MaxDenyAge: b.ConfigWithin, UrgencySteps: platform.UrgencySteps}
 	for _, within := range []time.Duration{b.DrainWithin, b.ConfigWithin, b.EvacuateWithin} {
 		if within <= 0 {
 			continue
 		}
-		if age := max(within-listMargin, within/minAgeDivisor); g.ListAge == 0 || age < g.ListAge {
-			g.ListAge = age
+		if age := max(within-listMargin, within/minAgeDivisor); g.MaxListAge == 0 || age < g.MaxListAge {
+			g.MaxListAge = age
 		}
 	}
 	if b.StrictRevocation {
-		g.KeyAge = max(b.RevokeWithin-keyMargin, b.RevokeWithin/minAgeDivisor)
+		g.MaxKeyAge = max(b.RevokeWithin-keyMargin, b.RevokeWithin/minAgeDivisor)
 	}
 	return g
 }
--- a/internal/edge/gatewayd/busy_test.go
+++ b/internal/edge/gatewayd/busy_test.go
@@ -45,7 +45,7 @@
 	w.server.control.DoWithoutCancel(func(now time.Time) {
 		w.server.table.SetPeerLoads(now, balance.PeerLoads{
 			Loads: occupancy.Loads{xxhash.Sum64String("i-a"): {Unread: 1_000_000}},
-			Keep:  time.Minute, Gateways: 3,
+			TTL:   time.Minute, Gateways: 3,
 		})
 	})
 	// The gateway must have seen such a wait itself.
--- a/internal/edge/gatewayd/follow.go
+++ b/internal/edge/gatewayd/follow.go
@@ -54,8 +54,8 @@
 // step performs one query.
 func (f *follower) step(ctx context.Context) {
 	switch q := f.next(); q.Kind {
-	case reader.Pause:
-		loop.Pause(ctx, q.Wait)
+	case reader.Sleep:
+		loop.Sleep(ctx, q.Wait)
 	case reader.QueryPeer:
 		f.queryPeer(ctx, q)
 	case reader.List:
@@ -90,7 +90,7 @@
 // readerBounds returns the maximum ages of the state that this gateway knows.
 func (s *Server) readerBounds() reader.Bounds {
 	b := s.bounds.Load()
-	return reader.Bounds{KeyAge: b.KeyAge, ListAge: b.ListAge, MaxConfigDelay: b.DenyAge}
+	return reader.Bounds{MaxKeyAge: b.MaxKeyAge, MaxListAge: b.MaxListAge, MaxConfigDelay: b.MaxDenyAge}
 }
 
 // stale reports whether the view is too old to wait for other gateways.
--- a/internal/edge/gatewayd/lend.go
+++ b/internal/edge/gatewayd/lend.go
@@ -57,7 +57,7 @@
 	}
 	ctx, cancel := context.WithTimeout(x.r.Context(), borrowTimeout)
 	defer cancel()
-	req := &gladegaugev1.BorrowTurnRequest{Upstream: l.Start(), Least: x.wants().Least}
+	req := &gladegaugev1.BorrowTurnRequest{Upstream: l.IncarnationKey(), Least: x.wants().Least}
 	resp, err := s.peer(holder).BorrowTurn(ctx, connect.NewRequest(req))
 	s.metrics.peerCall("borrow_turn", err)
 	if err != nil {
--- a/internal/edge/gatewayd/limit_test.go
+++ b/internal/edge/gatewayd/limit_test.go
@@ -112,7 +112,7 @@
 	w.server.control.DoWithoutCancel(func(now time.Time) {
 		for _, in := range w.server.roster.Current(now) {
 			if in.ID == limited.ID {
-				closed[in.Start()] = state
+				closed[in.IncarnationKey()] = state
 			}
 		}
 	})
@@ -202,7 +202,7 @@
 	})
 	is.Equal(w.call("/write/1").Status, 503)
 	reportFree := func() {
-		w.server.control.DoWithoutCancel(func(now time.Time) { free(now, w.server.roster.Current(now)[0].Start()) })
+		w.server.control.DoWithoutCancel(func(now time.Time) { free(now, w.server.roster.Current(now)[0].IncarnationKey()) })
 	}
 	for range 4 {
 		w.suspend(2 * time.Second)
--- a/internal/edge/gatewayd/loads.go
+++ b/internal/edge/gatewayd/loads.go
@@ -27,7 +27,7 @@
 // relay.
 func (s *Server) reportLoop(ctx context.Context) error {
 	pause := occupancy.BaseInterval
-	for loop.Pause(ctx, pause) {
+	for loop.Sleep(ctx, pause) {
 		var role fleet.AggregationRole
 		var intervals occupancy.Intervals
 		s.control.DoWithoutCancel(func(now time.Time) {
@@ -60,7 +60,7 @@
 		req.Gateways = clampUint32(s.fleet.CellSize(now))
 		req.Loads = encodeLoads(s.occupancy.Zone(now))
 		req.Parts = encodeParts(s.partLog.ForOtherZone(address))
-		req.Suspects = s.suspects.Tell(now, address, false)
+		req.Suspects = s.suspects.NextMessage(now, address, false)
 	})
 	resp, ok := s.sendLoads(ctx, address, req)
 	if !ok {
@@ -76,7 +76,7 @@
 	s.control.DoWithoutCancel(func(now time.Time) {
 		req.Loads = encodeLoads(s.table.Loads(now))
 		req.Parts = encodeParts(s.table.TakeNewParts())
-		req.Suspects = s.suspects.Tell(now, address, true)
+		req.Suspects = s.suspects.NextMessage(now, address, true)
 	})
 	resp, ok := s.sendLoads(ctx, address, req)
 	if !ok {
@@ -85,7 +85,7 @@
 	s.control.DoWithoutCancel(func(now time.Time) {
 		s.occupancy.RecordOthers(now, decodeLoads(resp.GetLoads()))
 		s.table.AddPeerParts(now, decodeParts(resp.GetParts()))
-		s.suspects.Hear(now, address, resp.GetSuspects(), 0)
+		s.suspects.Receive(now, address, resp.GetSuspects(), 0)
 		s.applyOthers(now, false)
 	})
 }
@@ -109,7 +109,7 @@
 		s.control.DoWithoutCancel(func(now time.Time) {
 			req.Loads = encodeLoads(s.occupancy.Zone(now))
 			req.Parts = encodeParts(s.partLog.ForOtherZone(address))
-			req.Suspects = s.suspects.Tell(now, address, false)
+			req.Suspects = s.suspects.NextMessage(now, address, false)
 		})
 		resp, ok := s.sendLoads(ctx, address, req)
 		if !ok {
@@ -124,7 +124,7 @@
 func (s *Server) applyRelayAnswer(now time.Time, address, zone string, resp *gladegaugev1.TellLoadsResponse) {
 	s.occupancy.RecordZone(now, zone, decodeLoads(resp.GetLoads()))
 	s.applyZoneParts(now, decodeParts(resp.GetParts()))
-	s.suspects.Hear(now, address, resp.GetSuspects(), 0)
+	s.suspects.Receive(now, address, resp.GetSuspects(), 0)
 	s.applyOthers(now, true)
 }
 
@@ -155,7 +155,7 @@
 		changes := s.table.SetPeerLoads(now, balance.PeerLoads{
 			Loads:    loads,
 			Age:      s.occupancy.Age(),
-			Keep:     s.occupancy.Keep(),
+			TTL:      s.occupancy.TTL(),
 			Gateways: s.fleet.Size(now),
 		})
 		if changes.LimitsReported {
@@ -170,7 +170,7 @@
 			s.log.Info().Str("upstream", h.ID).Dur("waited", h.Waited).Msg("prompt hangs")
 		}
 		for _, o := range changes.Outvoted {
-			s.log.Info().Str("upstream", o.ID).Int("against", o.Failing).Int("for", o.Served).Dur("last_for", o.For).
+			s.log.Info().Str("upstream", o.ID).Int("against", o.Failing).Int("for", o.Served).Dur("last_for", o.DemotedFor).
 				Dur("told_age", s.occupancy.Age()).Msg("upstream demoted by votes")
 		}
 	}
@@ -198,8 +198,8 @@
 		if zone := req.Msg.GetZone(); zone != "" {
 			s.occupancy.RecordZone(now, zone, loads)
 			s.applyZoneParts(now, parts)
-			s.suspects.Hear(now, from, req.Msg.GetSuspects(), 0)
-			resp.Suspects = s.suspects.Tell(now, from, false)
+			s.suspects.Receive(now, from, req.Msg.GetSuspects(), 0)
+			resp.Suspects = s.suspects.NextMessage(now, from, false)
 			resp.Loads = encodeLoads(s.occupancy.Zone(now))
 			resp.Parts = encodeParts(s.partLog.ForOtherZone(from))
 			return
@@ -218,8 +218,8 @@
 			s.occupancy.RecordMember(now, from, loads)
 		}
 		s.partLog.Add(from, parts)
-		s.suspects.Hear(now, from, req.Msg.GetSuspects(), witness)
-		resp.Suspects = s.suspects.Tell(now, from, false)
+		s.suspects.Receive(now, from, req.Msg.GetSuspects(), witness)
+		resp.Suspects = s.suspects.NextMessage(now, from, false)
 		resp.Loads = encodeLoads(s.occupancy.For(now, from))
 		resp.Parts = encodeParts(s.partLog.For(from))
 	})
--- a/internal/edge/gatewayd/notice.go
+++ b/internal/edge/gatewayd/notice.go
@@ -29,7 +29,7 @@
 func (x *request) notice(choice balance.Choice, r *http.Response) {
 	n := platform.DecodeNotice(r.StatusCode, r.Header)
 	s := x.server
-	if !n.Any() && !(*s.closed.Load()).LimitReported(choice.Start()) {
+	if !n.Any() && !(*s.closed.Load()).LimitReported(choice.IncarnationKey()) {
 		return
 	}
 	if r.StatusCode >= http.StatusOK && x.owns(r) {
@@ -48,18 +48,18 @@
 	line := func(kind string) *zerolog.Event {
 		s.metrics.notices.WithLabelValues(kind).Inc()
 		return x.log().
-			Str("upstream", said.Of.ID).Uint64("start", said.Of.Start()).Bool("listed", said.Listed).
+			Str("upstream", said.Sender.ID).Uint64("start", said.Sender.IncarnationKey()).Bool("listed", said.Listed).
 			Str("address", choice.Address).Int("status", r.StatusCode)
 	}
-	if said.Of.ID == "" && n.Any() {
-		line(noticeNobody).Str("sent_to", choice.ID).Str("named", n.Of).Msg("a word of nobody that is listed")
+	if said.Sender.ID == "" && n.Any() {
+		line(noticeNobody).Str("sent_to", choice.ID).Str("named", n.Sender).Msg("a word of nobody that is listed")
 	}
 	if said.NewlyLeaving {
 		line(noticeLeaving).Msg("upstream says that it leaves")
 	}
 	if said.BackoffExtended {
 		rest := said.State.BackoffUntil().Sub(s.now())
-		line(noticeRest).Dur("asked", n.Rest).Dur("rest", rest).Msg("upstream asks for rest")
+		line(noticeRest).Dur("asked", n.Backoff).Dur("rest", rest).Msg("upstream asks for rest")
 	}
 	if said.LimitChanged {
 		limit := said.State.Announced()
--- a/internal/edge/gatewayd/patience.go
+++ b/internal/edge/gatewayd/patience.go
@@ -104,7 +104,7 @@
 	if !x.progress.HasBackup {
 		return 0
 	}
-	return pauseFactor * x.admission.Route.PauseTarget
+	return pauseFactor * x.admission.Route.EventGapTarget
 }
 
 // answerBegan notes the first event of a stream, or the head of another answer.
--- a/internal/edge/gatewayd/peers.go
+++ b/internal/edge/gatewayd/peers.go
@@ -53,13 +53,13 @@
 func (s *Server) exchangeLoop(ctx context.Context) error {
 	s.exchangeWithSeeds(ctx)
 	//nolint:gosec // Jitter needs no secret randomness.
-	if !loop.Pause(ctx, fleet.ExchangeInterval/4+rand.N(fleet.ExchangeInterval/4)) {
+	if !loop.Sleep(ctx, fleet.ExchangeInterval/4+rand.N(fleet.ExchangeInterval/4)) {
 		return nil
 	}
 	s.exchangeWithSeeds(ctx)
 	for {
 		//nolint:gosec // Jitter needs no secret randomness.
-		if !loop.Pause(ctx, fleet.ExchangeInterval/2+rand.N(fleet.ExchangeInterval)) {
+		if !loop.Sleep(ctx, fleet.ExchangeInterval/2+rand.N(fleet.ExchangeInterval)) {
 			return nil
 		}
 		if address, ok := s.exchangePeer(); ok {
--- a/internal/edge/gatewayd/pick.go
+++ b/internal/edge/gatewayd/pick.go
@@ -49,7 +49,7 @@
 	return balance.Request{
 		Route:        route.Name,
 		Pool:         x.admission.Pool,
-		TargetGap:    route.PauseTarget,
+		TargetGap:    route.EventGapTarget,
 		Target:       route.Target,
 		Tier:         route.Tier,
 		Prompt:       x.call.Prompt,
--- a/internal/edge/gatewayd/request.go
+++ b/internal/edge/gatewayd/request.go
@@ -118,11 +118,11 @@
 func (x *request) admit(now time.Time) *gateway.Refusal {
 	x.view = *x.server.view.Load()
 	a, refusal := gateway.Admit(now, x.view, gateway.Call{
-		ID:       x.call.ID,
-		Host:     hostOf(x.r),
-		Path:     x.r.URL.EscapedPath(),
-		Key:      x.call.Key,
-		Patience: x.call.Patience,
+		ID:            x.call.ID,
+		Host:          hostOf(x.r),
+		Path:          x.r.URL.EscapedPath(),
+		Key:           x.call.Key,
+		CallerTimeout: x.call.CallerTimeout,
 	}, *x.server.bounds.Load())
 	x.admission = a
 	return refusal
--- a/internal/edge/gatewayd/respond.go
+++ b/internal/edge/gatewayd/respond.go
@@ -53,7 +53,7 @@
 	if limited {
 		return refusal.WithLimit(left)
 	}
-	return refusal.WithRest(left)
+	return refusal.WithBackoff(left)
 }
 
 // refuse answers in the gateway's own name.
--- a/internal/edge/gatewayd/rest_test.go
+++ b/internal/edge/gatewayd/rest_test.go
@@ -96,12 +96,12 @@
 	is := is.New(t)
 	w := newTestEnv(t, 2, func(int, standin.Request) standin.Reply { return standin.Reply{Body: "done"} })
 	closed := make(notice.Closed)
-	state := notice.State{}.With(time.Now(), notice.Notice{Rest: time.Minute})
+	state := notice.State{}.With(time.Now(), notice.Notice{Backoff: time.Minute})
 	resting := w.replicas[0]
 	w.server.control.DoWithoutCancel(func(now time.Time) {
 		for _, in := range w.server.roster.Current(now) {
 			if in.ID == resting.ID {
-				closed[in.Start()] = state
+				closed[in.IncarnationKey()] = state
 			}
 		}
 	})
--- a/internal/edge/gatewayd/server.go
+++ b/internal/edge/gatewayd/server.go
@@ -97,7 +97,7 @@
 	budgets map[string]*retry.Window
 	fleet   *fleet.Fleet
 	// occupancy holds the loads that other gateways reported.
-	occupancy *occupancy.Book
+	occupancy *occupancy.Tracker
 	// ownLoadAt is when the load of this gateway was last added to occupancy.
 	ownLoadAt time.Time
 	// partLog holds the reports of gateways on the prompt parts that engines cache.
@@ -110,7 +110,7 @@
 	loggedSize int
 	// suspects are the requests that upstreams crashed under, and lost those whose
 	// upstream connection broke recently.
-	suspects *suspects.Book
+	suspects *suspects.Tracker
 	lost     []suspects.Failure
 	feed     *feed.Feed
 	// storedConfig is the configuration that was last read from the store itself, and
@@ -165,7 +165,7 @@
 	s.addresses.Store(&map[string]bool{})
 	s.closed.Store(&notice.Closed{})
 	s.client = exchange.New(exchange.Options{
-		KeepFor:   func(h http.Header) time.Duration { return platform.DecodeAnswer(0, h).KeepFor },
+		KeepAlive: func(h http.Header) time.Duration { return platform.DecodeAnswer(0, h).KeepAlive },
 		OnConnect: func() { s.metrics.connections.Inc() },
 		Clock:     s.now,
 	})
--- a/internal/edge/gatewayd/state_test.go
+++ b/internal/edge/gatewayd/state_test.go
@@ -133,7 +133,7 @@
 	is.Equal(w.call("/read/1").Status, 200)
 	w.store.SetFault(standin.Silent)
 	old := *w.server.view.Load()
-	old.NewestAt = time.Now().Add(-w.server.bounds.Load().KeyAge - time.Millisecond)
+	old.NewestAt = time.Now().Add(-w.server.bounds.Load().MaxKeyAge - time.Millisecond)
 	w.server.control.DoWithoutCancel(func(time.Time) { w.server.view.Store(&old) })
 	a := w.call("/read/1")
 	is.Equal(a.Status, 503)
--- a/internal/edge/gatewayd/stream.go
+++ b/internal/edge/gatewayd/stream.go
@@ -59,7 +59,7 @@
 			heard = now
 			told := gaps
 			gaps = balance.Gaps{}
-			x.server.control.DoWithoutCancel(func(now time.Time) { x.server.table.Heard(now, a.choice.ID, told) })
+			x.server.control.DoWithoutCancel(func(now time.Time) { x.server.table.DataReceived(now, a.choice.ID, told) })
 		}
 		x.commitStream(a)
 		if behind && !e.follows(x.lastEvent) {
--- a/internal/edge/gatewayd/suspects.go
+++ b/internal/edge/gatewayd/suspects.go
@@ -79,7 +79,7 @@
 	s := x.server
 	lost := suspects.Failure{
 		Print: x.printed(), Request: x.call.ID, Organisation: x.organisation(),
-		Start: c.Start(), Upstream: c.ID, Ran: s.now().Sub(x.sentAt),
+		IncarnationKey: c.IncarnationKey(), Upstream: c.ID, Ran: s.now().Sub(x.sentAt),
 	}
 	leaving, known := false, false
 	s.control.DoWithoutCancel(func(now time.Time) {
@@ -115,12 +115,12 @@
 		s.log.Warn().Str("upstream", in.ID).Str("address", in.Address).Str("zone", in.Zone).Str("pool", in.Pool).
 			Stringer("outcome", o).Msg("upstream has ended")
 	}
-	start := in.Start()
+	start := in.IncarnationKey()
 	s.lost = slices.DeleteFunc(s.lost, func(l suspects.Failure) bool {
 		old := now.Sub(l.At) > lostRetention
-		if l.Start == start && !old {
+		if l.IncarnationKey == start && !old {
 			s.suspects.ReportCrash(l)
 		}
-		return l.Start == start || old
+		return l.IncarnationKey == start || old
 	})
 }
--- a/internal/edge/loop/loop.go
+++ b/internal/edge/loop/loop.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// Pause waits for the duration. It returns false if the context ended first.
-func Pause(ctx context.Context, d time.Duration) bool {
+// Sleep waits for the duration. It returns false if the context ended first.
+func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/edge/spread/peers.go
+++ b/internal/edge/spread/peers.go
@@ -30,7 +30,7 @@
 
 // exchangeLoop polls the peers in turn.
 func (s *Sync) exchangeLoop(ctx context.Context) error {
-	for loop.Pause(ctx, core.ExchangeEvery/2+jitter(core.ExchangeEvery)) {
+	for loop.Sleep(ctx, core.ExchangeInterval/2+jitter(core.ExchangeInterval)) {
 		addresses := s.addresses(ctx)
 		if len(addresses) == 0 {
 			continue
@@ -70,7 +70,7 @@
 	prepare := func(now time.Time) {
 		asked = now
 		req.State = s.state(now)
-		req.Suspects = s.suspects.Tell(now, address, false)
+		req.Suspects = s.suspects.NextMessage(now, address, false)
 	}
 	if s.o.Loop.Do(ctx, prepare) != nil {
 		return false
@@ -82,7 +82,7 @@
 	}
 	want := &gladegaugev1.FetchRequest{}
 	err = s.o.Loop.Do(ctx, func(now time.Time) {
-		s.hearSuspects(now, address, resp.Msg.GetSuspects())
+		s.receiveSuspects(now, address, resp.Msg.GetSuspects())
 		want.Manifest = s.newer(resp.Msg.GetState().GetVersion(), address)
 		want.Zones = s.newerZones(resp.Msg.GetState())
 		if !want.GetManifest() && len(want.GetZones()) == 0 {
--- a/internal/edge/spread/platform.go
+++ b/internal/edge/spread/platform.go
@@ -75,7 +75,7 @@
 // host yet. The lists of other zones come from peers there.
 func (s *Sync) zonesLoop(ctx context.Context) error {
 	wait := retryPause
-	for loop.Pause(ctx, wait/2+jitter(wait)) {
+	for loop.Sleep(ctx, wait/2+jitter(wait)) {
 		if !s.isWatcher(ctx) {
 			continue
 		}
@@ -84,7 +84,7 @@
 		cancel()
 		wait = retryPause
 		if complete {
-			wait = zonesEvery
+			wait = zonesInterval
 		}
 	}
 	return nil
@@ -96,8 +96,8 @@
 	return unknown
 }
 
-// never is the direct condition of a value that only watchers watch.
-func never(context.Context) bool { return false }
+// neverDirect is the direct condition of a value that only watchers watch.
+func neverDirect(context.Context) bool { return false }
 
 // watchesDirectly reports whether the process watches the platform although it is no
 // watcher.
@@ -138,7 +138,7 @@
 		default:
 			// A restarted platform may count its versions from the beginning again.
 			after = 0
-			loop.Pause(ctx, pause/2+jitter(pause))
+			loop.Sleep(ctx, pause/2+jitter(pause))
 		}
 	}
 	return nil
@@ -290,7 +290,7 @@
 // directLoop reads everything from the platform while the process has had no response from
 // a peer or the platform for long, or has no configuration.
 func (s *Sync) directLoop(ctx context.Context) error {
-	for loop.Pause(ctx, directBase+jitter(directJitter)) {
+	for loop.Sleep(ctx, directInterval+jitter(directJitter)) {
 		silent := false
 		_ = s.o.Loop.Do(ctx, func(now time.Time) {
 			silent = s.freshness.Silent(now) || s.holder.Config() == nil
--- a/internal/edge/spread/sync.go
+++ b/internal/edge/spread/sync.go
@@ -38,15 +38,15 @@
 
 // Timeouts, intervals and limits of synchronization.
 const (
-	callTimeout  = 2 * time.Second
-	watchWait    = 20 * time.Second
-	retryPause   = time.Second
-	pullBacklog  = 16
-	directBase   = 20 * time.Second
-	directJitter = 20 * time.Second
+	callTimeout    = 2 * time.Second
+	watchWait      = 20 * time.Second
+	retryPause     = time.Second
+	pullBacklog    = 16
+	directInterval = 20 * time.Second
+	directJitter   = 20 * time.Second
 	// directWatchPause is the pause after a failed watch of a process that is no watcher.
 	directWatchPause = 10 * time.Second
-	zonesEvery       = 30 * time.Second
+	zonesInterval    = 30 * time.Second
 )
 
 // Options are the settings and dependencies of a Sync.
@@ -72,7 +72,7 @@
 	holder        *revision.Holder
 	set           *member.Set
 	freshness     core.Freshness
-	suspects      *suspects.Book
+	suspects      *suspects.Tracker
 	pulls         chan string
 	notifications chan struct{}
 	watchChanged  chan struct{}
@@ -103,7 +103,7 @@
 	s.bootstrap(ctx)
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return s.watchLoop(ctx, s.watchesDirectly, s.watchManifest) })
-	group.Go(func() error { return s.watchLoop(ctx, never, s.watchHosts) })
+	group.Go(func() error { return s.watchLoop(ctx, neverDirect, s.watchHosts) })
 	group.Go(func() error { return s.exchangeLoop(ctx) })
 	group.Go(func() error { return s.pullLoop(ctx) })
 	group.Go(func() error { return s.notifyLoop(ctx) })
@@ -141,9 +141,9 @@
 	return &gladegaugev1.Version{Revision: cfg.Revision(), Digest: []byte(cfg.Digest())}
 }
 
-// Heard compares a version piggybacked on another process's message with the one in force,
+// RecordReport compares a version piggybacked on another process's message with the one in force,
 // and schedules a fetch from that process if it is newer. It runs in the control loop.
-func (s *Sync) Heard(v *gladegaugev1.Version, address string) {
+func (s *Sync) RecordReport(v *gladegaugev1.Version, address string) {
 	if s.newer(v, address) {
 		s.pull(address)
 	}
@@ -320,8 +320,8 @@
 	err := s.o.Loop.Do(ctx, func(now time.Time) {
 		resp.State = s.state(now)
 		from, known := s.set.Host(req.Msg.GetFrom())
-		s.hearSuspects(now, req.Msg.GetFrom(), req.Msg.GetSuspects())
-		resp.Suspects = s.suspects.Tell(now, req.Msg.GetFrom(), false)
+		s.receiveSuspects(now, req.Msg.GetFrom(), req.Msg.GetSuspects())
+		resp.Suspects = s.suspects.NextMessage(now, req.Msg.GetFrom(), false)
 		state := req.Msg.GetState()
 		behind := s.newer(state.GetVersion(), from.Address) || len(s.newerZones(state)) > 0
 		if behind && known {
--- a/internal/session/entryhost.go
+++ b/internal/session/entryhost.go
@@ -157,7 +157,7 @@
 func (h *entryHost) settle(c *call, n int) {
 	if !c.settled[n] {
 		c.settled[n] = true
-		h.core.Settled(c.streams[n].agent.id)
+		h.core.OfferAnswered(c.streams[n].agent.id)
 	}
 }
 
@@ -166,7 +166,7 @@
 		return
 	}
 	h.settle(x.call, x.n)
-	h.core.Heard(h.s.world.now, x.agent.id, l)
+	h.core.RecordReport(h.s.world.now, x.agent.id, l)
 }
 
 func (h *entryHost) granted(x *stream, incarnation string) {
--- a/internal/slopes/main.go
+++ b/internal/slopes/main.go
@@ -372,8 +372,8 @@
 		t.Start(now)
 		for i := range 2 {
 			id := t.Agent(i).ID
-			e.Settled(id)
-			e.Heard(now, id, agent.Load{FreeSlots: 1})
+			e.OfferAnswered(id)
+			e.RecordReport(now, id, agent.Load{FreeSlots: 1})
 		}
 		t.Granted(now, 0, "")
 		t.Deliver(now, 0, 400)
--- a/internal/soak/crashes.go
+++ b/internal/soak/crashes.go
@@ -39,7 +39,7 @@
 // same faults beside it.
 func (w *World) Crash(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 79)) //nolint:gosec // Seeded on purpose.
-	for n := 0; loop.Pause(ctx, upTo(rng, killerGap)); n++ {
+	for n := 0; loop.Sleep(ctx, upTo(rng, killerGap)); n++ {
 		if rng.IntN(4) == 0 {
 			w.overwrite(rng)
 			continue
--- a/internal/soak/evacuations.go
+++ b/internal/soak/evacuations.go
@@ -33,11 +33,11 @@
 func (w *World) Evacuate(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 78)) //nolint:gosec // Seeded on purpose.
 	for ctx.Err() == nil {
-		loop.Pause(ctx, upTo(rng, evacuationGap))
+		loop.Sleep(ctx, upTo(rng, evacuationGap))
 		zone := zoneOf(rng.IntN(zones))
 		w.store.Evacuate(zone)
 		at := time.Now()
-		loop.Pause(ctx, evacuationLeast+upTo(rng, evacuationMost-evacuationLeast))
+		loop.Sleep(ctx, evacuationLeast+upTo(rng, evacuationMost-evacuationLeast))
 		until := time.Now()
 		w.store.EndEvacuation(zone)
 		w.record.evacuated(Evacuation{Zone: zone, At: at, Until: until})
--- a/internal/soak/liar.go
+++ b/internal/soak/liar.go
@@ -32,7 +32,7 @@
 	client := &http.Client{Timeout: lieTimeout}
 	defer client.CloseIdleConnections()
 	self := &gladegaugev1.GatewayMember{Address: liarAddress, Zone: zoneOf(0), Start: 1}
-	for loop.Pause(ctx, lieEvery) {
+	for loop.Sleep(ctx, lieEvery) {
 		self.Beat++
 		hello := &gladegaugev1.GatewayExchangeRequest{Members: []*gladegaugev1.GatewayMember{self}, Known: gateways}
 		lie := &gladegaugev1.TellLoadsRequest{Gateway: liarAddress, Loads: w.lies()}
@@ -51,7 +51,7 @@
 	defer w.mu.Unlock()
 	var list []*gladegaugev1.UpstreamLoad
 	for _, r := range w.replicas {
-		start := balance.Instance{ID: r.ID, Born: r.Born}.Start()
+		start := balance.Instance{ID: r.ID, Born: r.Born}.IncarnationKey()
 		list = append(list, &gladegaugev1.UpstreamLoad{Upstream: start, Gone: lieMost, Closed: lieMost, Failing: lieMost, Limited: lieMost, LimitLog: -lieMost})
 	}
 	return list
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -54,7 +54,7 @@
 func (w *World) Limits(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 81)) //nolint:gosec // Seeded on purpose.
 	end, _ := ctx.Deadline()
-	for loop.Pause(ctx, upTo(rng, limitGap)) {
+	for loop.Sleep(ctx, upTo(rng, limitGap)) {
 		w.nameLimit(drawLimit(rng, time.Now()), rng.Uint64(), end)
 	}
 }
--- a/internal/soak/notices.go
+++ b/internal/soak/notices.go
@@ -44,7 +44,7 @@
 // the context ends. It draws numbers of its own: a seed plays the same faults beside it.
 func (w *World) Notices(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 80)) //nolint:gosec // Seeded on purpose.
-	for loop.Pause(ctx, upTo(rng, noticeGap)) {
+	for loop.Sleep(ctx, upTo(rng, noticeGap)) {
 		if rng.IntN(3) == 0 {
 			w.sayLeaving(rng)
 		} else {
--- a/internal/soak/restores.go
+++ b/internal/soak/restores.go
@@ -28,9 +28,9 @@
 // ends. It draws numbers of its own: a seed plays the same faults beside it.
 func (w *World) Restore(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 82)) //nolint:gosec // Seeded on purpose.
-	for loop.Pause(ctx, upTo(rng, restoreGap)) {
+	for loop.Sleep(ctx, upTo(rng, restoreGap)) {
 		w.store.Backup()
-		if !loop.Pause(ctx, upTo(rng, copyAge)) {
+		if !loop.Sleep(ctx, upTo(rng, copyAge)) {
 			return
 		}
 		w.during("store comes back from a copy", everyGateway, func() { w.restore(rng) })
