--- a/internal/core/balance/backup.go
+++ b/internal/core/balance/backup.go
@@ -11,7 +11,7 @@
 // Backup is an engine that keeps a copy of a request's KV cache. The zero value means
 // none.
 type Backup struct {
-	// ID is the ID of the instance.
+	// ID is the ID of the engine.
 	ID      string
 	Address string
 }
--- a/internal/core/balance/cache.go
+++ b/internal/core/balance/cache.go
@@ -51,8 +51,8 @@
 // setMemory bounds the model by the engine's memory; 0 means unbounded.
 func (c *cache) setMemory(tokens int) { c.maxTokens = int(cacheShare * float64(tokens)) }
 
-// cachedTokens returns the tokens of the prompt that the engine is expected to have cached by the
-// time it reads the next one.
+// cachedTokens returns the tokens of the prompt that the engine is expected to have
+// cached by the time it reads the next one.
 func (c *cache) cachedTokens(now time.Time, p Prompt, keys []uint64) int {
 	return c.prefixTokens(now, p, keys, false)
 }
--- a/internal/core/balance/gone.go
+++ b/internal/core/balance/gone.go
@@ -51,20 +51,20 @@
 	return u.peerLoad.Gone >= goneQuorum && u.hasPeerLoad(now) && now.Sub(u.lastReceivedAt) > peerGoneGrace
 }
 
-// peersFoundClosed reports whether the upstream told enough other gateways that it leaves
-// or needs a backoff, and it has sent nothing to this one since.
+// peersFoundClosed reports whether the upstream announced to enough other gateways that it
+// leaves or needs a backoff, and it has sent nothing to this one since.
 func (u *upstream) peersFoundClosed(now time.Time) bool {
 	return u.peerLoad.Closed >= goneQuorum && u.hasPeerLoad(now) && now.Sub(u.lastReceivedAt) > peerGoneGrace && !u.notices.Restricted(now)
 }
 
-// avoidedByPeers reports whether the upstream is to be tried last because of reports or votes
-// of other gateways.
+// avoidedByPeers reports whether the upstream is to be tried last because of reports or
+// votes of other gateways.
 func (u *upstream) avoidedByPeers(now time.Time) bool {
 	return u.peersFoundGone(now) || u.peersFoundClosed(now) || u.health.Demoted(now)
 }
 
-// acceptsPeerReports reports whether this gateway may act on reports that upstreams are gone or
-// closed and on votes against them: enough of the pool must remain.
+// acceptsPeerReports reports whether this gateway may act on reports that upstreams are
+// gone or closed and on votes against them: enough of the pool must remain.
 func (p *pool) acceptsPeerReports(now time.Time) bool {
 	n, present := 0, 0.0
 	capacity := p.capacities()
--- a/internal/core/balance/gone_test.go
+++ b/internal/core/balance/gone_test.go
@@ -10,7 +10,7 @@
 )
 
 // An upstream that refuses connections or was replaced by another incarnation is skipped
-// until its entry has lapsed, and this is reported to other gateways.
+// until its entry has expired, and this is reported to other gateways.
 func TestDeadUpstreamIsSkipped(t *testing.T) {
 	for _, o := range []Outcome{Dead, Replaced} {
 		t.Run(o.String(), func(t *testing.T) {
--- a/internal/core/balance/health.go
+++ b/internal/core/balance/health.go
@@ -18,7 +18,7 @@
 	// could not be established.
 	unreachableBackoff = 700 * time.Millisecond
 	// goneTTL is how long an upstream is considered gone after nothing listened at its
-	// address or another incarnation answered there. By then its entry has lapsed, after
+	// address or another incarnation answered there. By then its entry has expired, after
 	// three heartbeats of about a second; otherwise it is tried again.
 	goneTTL = 5 * time.Second
 	// maxEjectedShare is the fraction of a pool's available upstreams that may be ejected
--- a/internal/core/balance/peers.go
+++ b/internal/core/balance/peers.go
@@ -25,7 +25,7 @@
 
 // PeerChanges lists the upstreams whose state changed with an update from other gateways.
 type PeerChanges struct {
-	// Outvoted lists those that votes newly put last.
+	// Outvoted lists those that votes newly demoted.
 	Outvoted []Outvoted
 	// Hanging lists those at which a prompt of this gateway newly counts as hanging.
 	Hanging []Hanging
--- a/internal/core/balance/table.go
+++ b/internal/core/balance/table.go
@@ -36,11 +36,11 @@
 	// same ID has a later time.
 	Born int64
 	// Created is the platform's revision at which the entry was created. It distinguishes
-	// entries that lapsed and were created again; 0 if the platform does not report it.
+	// entries that expired and were created again; 0 if the platform does not report it.
 	Created int64
 }
 
-// upstream is the state that the table keeps for one instance.
+// upstream is the state that the table keeps for one incarnation.
 type upstream struct {
 	Instance
 	// hash is the hash of its ID. Decisions on which gateways agree without communication
@@ -168,9 +168,9 @@
 	return in.Born != 0 && next.Born != 0 && in.Born != next.Born
 }
 
-// IncarnationKey returns a key that distinguishes this incarnation from all others, including
-// later ones with the same ID. If the upstream does not report its start time, the key
-// depends on the ID alone.
+// IncarnationKey returns a key that distinguishes this incarnation from all others,
+// including later ones with the same ID. If the upstream does not report its start time,
+// the key depends on the ID alone.
 func (in Instance) IncarnationKey() uint64 {
 	id := xxhash.Sum64String(in.ID)
 	if in.Born == 0 {
@@ -227,7 +227,7 @@
 
 // newUpstream creates the state of a new incarnation, replacing that of an earlier one.
 // evacuated is whether its availability zone was evacuated until now. Only notices of
-// this very incarnation are carried over, since its entry may have lapsed and been
+// this very incarnation are carried over, since its entry may have expired and been
 // created again.
 func (t *Table) newUpstream(now time.Time, in Instance, evacuated bool) *upstream {
 	incarnation := in.IncarnationKey()
@@ -244,7 +244,7 @@
 }
 
 // markSuperseded marks upstreams at whose address a later entry is listed. Only one
-// incarnation runs at an address at a time; the entry of the earlier one has not lapsed
+// incarnation runs at an address at a time; the entry of the earlier one has not expired
 // yet.
 func (t *Table) markSuperseded() {
 	latest := make(map[string]int64, len(t.upstreams))
--- a/internal/core/balance/votes.go
+++ b/internal/core/balance/votes.go
@@ -10,14 +10,14 @@
 // upstream separately, the loss would grow with the number of gateways.
 //
 // Each gateway therefore publishes its latest observation of an upstream: an answer, or a
-// failure or refusal. If most votes are against an upstream, all gateways put it last for
-// a time. Then a few of them try it with requests of the lowest urgency, until one answer
+// failure or refusal. If most votes are against an upstream, all gateways demote it for a
+// time. Then a few of them try it with requests of the lowest urgency, until one answer
 // ends the trial.
 
-// trialGateways is the number of gateways that try an upstream that votes put last.
+// trialGateways is the number of gateways that try an upstream that votes demoted.
 const trialGateways = 2
 
-// Outvoted is an upstream that votes put last, and the count of the votes.
+// Outvoted is an upstream that votes demoted, and the count of the votes.
 type Outvoted struct {
 	ID string
 	health.Verdict
@@ -34,7 +34,7 @@
 }
 
 // applyVotes applies the votes of all gateways on the upstream, and reports whether they
-// newly put it last.
+// newly demote it.
 func (u *upstream) applyVotes(now time.Time) (Outvoted, bool) {
 	if u.peerLoad.Failing == 0 && !u.health.Outvoted() {
 		// The common case. Together with iterating over pools, this check reduced the time
--- a/internal/core/balance/votes_test.go
+++ b/internal/core/balance/votes_test.go
@@ -30,8 +30,8 @@
 	v.table.SetPeerLoads(now, peerLoadsOf(occupancy.Loads{v.first.incarnation: {Failing: failing, Served: served}}))
 }
 
-// tryFirst sends requests of the lowest urgency until one goes to the first upstream. Requests
-// at other upstreams are abandoned.
+// tryFirst sends requests of the lowest urgency until one goes to the first upstream.
+// Requests at other upstreams are abandoned.
 func (v voters) tryFirst(now time.Time) (Choice, bool) {
 	for i := range 40 {
 		r := plainRequest(i * 7919)
--- a/internal/core/fleet/bootstrap_test.go
+++ b/internal/core/fleet/bootstrap_test.go
@@ -10,7 +10,7 @@
 )
 
 // The source that a gateway follows after its start, and whether it waits for others.
-func TestSourceAtTheStart(t *testing.T) {
+func TestSourceAtStart(t *testing.T) {
 	seeds := []string{"s-1", "s-2"}
 	tests := []struct {
 		name  string
@@ -65,7 +65,7 @@
 
 // A gateway that knows no other is told of the whole fleet at once, one that knows the
 // fleet of a few gateways.
-func TestIntroduction(t *testing.T) {
+func TestBootstrapSample(t *testing.T) {
 	is := is.New(t)
 	f := New(Member{Address: "a-0", Zone: "a"})
 	for i := range 100 {
@@ -83,7 +83,7 @@
 
 // A gateway that has read the whole state at its start queries a seed once for the proof
 // that it is current; the seeds themselves query the store.
-func TestProofAtTheStart(t *testing.T) {
+func TestProofAtStart(t *testing.T) {
 	seeds := []string{"s-1", "s-2"}
 	tests := []struct {
 		name  string
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -53,7 +53,7 @@
 
 // Gateways that know three seeds discover all others, and agree on one reader of the
 // store in each zone.
-func TestEveryoneIsKnown(t *testing.T) {
+func TestDiscovery(t *testing.T) {
 	tests := []struct {
 		n, zones, seconds int
 		whole             float64
@@ -110,7 +110,7 @@
 
 // A partitioned part of the fleet keeps working and does not count itself as the whole
 // fleet; the parts find each other again.
-func TestCutAndRejoin(t *testing.T) {
+func TestPartitionAndRejoin(t *testing.T) {
 	is := is.New(t)
 	list := newFleets(12, 3)
 	now := runExchanges(t0, list, 20, all)
--- a/internal/core/fleet/relay_test.go
+++ b/internal/core/fleet/relay_test.go
@@ -12,7 +12,7 @@
 // Every gateway of a zone reports to a relay that aggregates, and its reports reach the
 // relay of the zone. No relay aggregates for many more gateways than a cell holds,
 // regardless of the size of the zone.
-func TestDuties(t *testing.T) {
+func TestAggregationRoles(t *testing.T) {
 	for _, n := range []int{1, 2, 32, 33, 76, 160, 400} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			is := is.New(t)
--- a/internal/core/gateway/admit.go
+++ b/internal/core/gateway/admit.go
@@ -19,7 +19,8 @@
 // Bounds are the maximum ages of the view that admission, and the code that follows the
 // store for it, accept.
 type Bounds struct {
-	// MaxKeyAge is the maximum age of the view up to which keys are accepted; 0 means any age.
+	// MaxKeyAge is the maximum age of the view up to which keys are accepted; 0 means any
+	// age.
 	MaxKeyAge time.Duration
 	// MaxDenyAge is the maximum age of the view up to which a missing route or key is
 	// definitive. An older view may not contain it yet.
--- a/internal/core/gateway/next.go
+++ b/internal/core/gateway/next.go
@@ -17,8 +17,8 @@
 	Faulty
 	// Lost means that there was no response, or no usable one.
 	Lost
-	// Replaced means that another instance now runs at the upstream's address and rejected
-	// a request addressed to the previous one.
+	// Replaced means that another incarnation now runs at the upstream's address and
+	// rejected a request addressed to the previous one.
 	Replaced
 	// Silent means that the gateway stopped waiting for this upstream.
 	Silent
--- a/internal/core/gateway/refusal.go
+++ b/internal/core/gateway/refusal.go
@@ -83,8 +83,8 @@
 	return r.NotRun && (r.Reason == NoUpstream || r.Reason == RefusedByAll || r.Reason == Unreachable)
 }
 
-// WithBackoff returns a refusal that tells the caller to retry after left, the time until the
-// first of the available upstreams accepts requests again. If left is 0, it returns r
+// WithBackoff returns a refusal that tells the caller to retry after left, the time until
+// the first of the available upstreams accepts requests again. If left is 0, it returns r
 // unchanged.
 func (r *Refusal) WithBackoff(left time.Duration) *Refusal {
 	if left <= 0 {
--- a/internal/core/health/doc.go
+++ b/internal/core/health/doc.go
@@ -1,5 +1,5 @@
-// Package health tracks the health of one instance of an upstream, as seen by this gateway
-// and reported by others, and decides whether other upstreams are preferred.
+// Package health tracks the health of one incarnation of an upstream, as seen by this
+// gateway and reported by others, and decides whether other upstreams are preferred.
 //
 // Health is inferred from the outcome of requests: responses, failures, refusals, and
 // prompts that hang. Each gateway evaluates its own requests and publishes the latest
@@ -12,7 +12,7 @@
 //
 //	s = s.WithResponseStart(now)
 //	s, d := s.WithRefusal(now, full)
-//	s, verdict, ok := s.WithVotes(now, told)
+//	s, verdict, ok := s.WithVotes(now, others)
 //	if s.ExcludedFor(now) > 0 || s.Demoted(now) {
 //		// prefer other upstreams
 //	}
--- a/internal/core/health/state.go
+++ b/internal/core/health/state.go
@@ -33,7 +33,7 @@
 	trialFor = 5 * time.Second
 )
 
-// State is the health of one instance of an upstream. The zero value has no observations.
+// State is the health of one incarnation of an upstream. The zero value has no observations.
 type State struct {
 	// rate is the moving average of the failure rate.
 	rate float64
--- a/internal/core/health/votes.go
+++ b/internal/core/health/votes.go
@@ -25,7 +25,8 @@
 	maxTrialWait = 4 * trialFor
 )
 
-// Vote is the latest outcome that a gateway observed at an upstream, as told to the others.
+// Vote is the latest outcome that a gateway observed at an upstream, as reported to the
+// others.
 type Vote int
 
 // Votes of a gateway.
--- a/internal/core/notice/limit.go
+++ b/internal/core/notice/limit.go
@@ -51,7 +51,7 @@
 type limitState struct {
 	Limit
 	// announcedAt is when an answer with a limit was last received, reportedAt when an
-	// answer was last received that tells whether there is one.
+	// answer was last received that shows whether there is one.
 	announcedAt time.Time
 	reportedAt  time.Time
 }
@@ -122,7 +122,7 @@
 	return s
 }
 
-// fresh reports whether a recent answer told whether there is a limit.
+// fresh reports whether a recent answer showed whether there is a limit.
 func (l limitState) fresh(now time.Time) bool {
 	return !l.reportedAt.IsZero() && now.Sub(l.reportedAt) < limitFreshness
 }
--- a/internal/core/notice/state_cache.go
+++ b/internal/core/notice/state_cache.go
@@ -4,7 +4,7 @@
 
 const (
 	// retention is how long the state of an unlisted incarnation stays valid: entries
-	// lapse and come back while the platform is unreachable.
+	// expire and come back while the platform is unreachable.
 	retention = time.Hour
 	// maxEntries bounds the number of unlisted incarnations with a state. A release of
 	// the largest pool replaces about as many within a few hours.
@@ -26,22 +26,22 @@
 
 // Put stores the state of an incarnation, unless nothing in it is in effect. The oldest
 // entry is evicted if there are too many.
-func (c *StateCache) Put(now time.Time, start uint64, s State) {
+func (c *StateCache) Put(now time.Time, incarnation uint64, s State) {
 	if !s.Any(now) {
 		return
 	}
 	if c.entries == nil {
 		c.entries = make(map[uint64]cacheEntry)
 	}
-	c.entries[start] = cacheEntry{state: s, at: now}
+	c.entries[incarnation] = cacheEntry{state: s, at: now}
 	if len(c.entries) > maxEntries {
 		c.evict(now)
 	}
 }
 
 // Get returns the stored state of an incarnation.
-func (c *StateCache) Get(now time.Time, start uint64) State {
-	e, ok := c.entries[start]
+func (c *StateCache) Get(now time.Time, incarnation uint64) State {
+	e, ok := c.entries[incarnation]
 	if !ok || now.Sub(e.at) > retention {
 		return State{}
 	}
@@ -52,13 +52,13 @@
 func (c *StateCache) evict(now time.Time) {
 	var oldest uint64
 	oldestAt := now.Add(1)
-	for start, e := range c.entries {
+	for incarnation, e := range c.entries {
 		if now.Sub(e.at) > retention {
-			delete(c.entries, start)
+			delete(c.entries, incarnation)
 			continue
 		}
 		if e.at.Before(oldestAt) {
-			oldest, oldestAt = start, e.at
+			oldest, oldestAt = incarnation, e.at
 		}
 	}
 	if len(c.entries) > maxEntries {
@@ -72,17 +72,17 @@
 type Closed map[uint64]State
 
 // Has reports whether nothing may be sent to the incarnation now.
-func (c Closed) Has(now time.Time, start uint64) bool {
-	s, ok := c[start]
+func (c Closed) Has(now time.Time, incarnation uint64) bool {
+	s, ok := c[incarnation]
 	return ok && s.Closed(now)
 }
 
 // Limited reports whether the incarnation has a limit now.
-func (c Closed) Limited(now time.Time, start uint64) bool {
-	s, ok := c[start]
+func (c Closed) Limited(now time.Time, incarnation uint64) bool {
+	s, ok := c[incarnation]
 	return ok && s.Limit(now).Announced
 }
 
 // LimitReported reports whether this or other gateways know of a limit of the
 // incarnation.
-func (c Closed) LimitReported(start uint64) bool { return c[start].LimitReported() }
+func (c Closed) LimitReported(incarnation uint64) bool { return c[incarnation].LimitReported() }
--- a/internal/core/occupancy/occupancy_test.go
+++ b/internal/core/occupancy/occupancy_test.go
@@ -65,7 +65,7 @@
 }
 
 // Gateways that reported once and never again are dropped, whatever their addresses.
-func TestBookIsBounded(t *testing.T) {
+func TestTrackerIsBounded(t *testing.T) {
 	is := is.New(t)
 	b := New()
 	for i := range 500 {
@@ -202,7 +202,7 @@
 
 // Of two relays with the same interval, one calls and the other is called, whatever the
 // offset between their timers. Each gets the other's report as often as if both called.
-func TestRelaysAskInTurn(t *testing.T) {
+func TestOneCallPerRelayPair(t *testing.T) {
 	const every = 100 * time.Millisecond
 	for offset := range 10 {
 		t.Run(fmt.Sprint(offset), func(t *testing.T) {
--- a/internal/core/overload/overload.go
+++ b/internal/core/overload/overload.go
@@ -17,8 +17,8 @@
 // # Threshold
 //
 // A queue that a burst leaves and that drains again does no harm, and rejecting its
-// requests helps nobody. A standing queue makes everybody late for as long as it stands.
-// They are told apart by the mean wait of the requests in the last second: while it is
+// requests has no benefit. A standing queue delays all requests for as long as it stands.
+// They are distinguished by the mean wait of the requests in the last second: while it is
 // short, a request may wait for most of its target or all of it; once it is long, for a
 // small part only, until the queue has drained. A single limit for both cases was worse
 // for either.
@@ -120,7 +120,8 @@
 	shares    shares
 }
 
-// ResponseStarted records the time until the first event of a request of the least urgent tier.
+// ResponseStarted records the time until the first event of a request of the least urgent
+// tier.
 func (q *Queue) ResponseStarted(now time.Time, waited time.Duration) {
 	if q.ownWaitAt.IsZero() || now.Sub(q.ownWaitAt) > ownWaitRetention {
 		q.ownWait = waited
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -3,8 +3,8 @@
 // Some limits apply to the sum of what all gateways send, for example the request rate of
 // an overloaded upstream. No gateway sees what the others send in the same second, and no
 // shared counter may be written that all of them read. Therefore only a few gateways, the
-// holders, use the rate: the first ones in rendezvous order of all gateways heard of
-// recently. Each holder has a token bucket that is refilled at its share of the rate.
+// holders, use the rate: the first ones in rendezvous order of all recently known
+// gateways. Each holder has a token bucket that is refilled at its share of the rate.
 //
 // # The bound
 //
--- a/internal/core/retry/window_test.go
+++ b/internal/core/retry/window_test.go
@@ -35,7 +35,7 @@
 }
 
 // For any pattern of failures, the retries of all gateways keep to the share plus the whole
-// reserve in every window, also when parts of the fleet do not hear from each other.
+// reserve in every window, also when parts of the fleet have no contact with each other.
 func TestWindowsOfFleet(t *testing.T) {
 	const (
 		share   = 0.2
--- a/internal/core/roster/restore_test.go
+++ b/internal/core/roster/restore_test.go
@@ -117,7 +117,7 @@
 
 // The list changes without a message from the store when something that was retained in a
 // restore expires.
-func TestEndsAfterARestore(t *testing.T) {
+func TestExpiryAfterRestore(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	r := New()
--- a/internal/core/spread/spread.go
+++ b/internal/core/spread/spread.go
@@ -144,8 +144,8 @@
 }
 
 // WatchesDirectly reports whether the process watches the platform although it is no
-// watcher, because no process that it hears from has had a response for long. All watchers
-// may have lost the platform at the same time while it still serves others.
+// watcher, because no process that it exchanges with has had a response for long. All
+// watchers may have lost the platform at the same time while it still serves others.
 func (f *Freshness) WatchesDirectly(now time.Time) bool {
 	if now.Sub(f.provenAt) > MaxProofAge {
 		f.directUntil = now.Add(DirectWatchPeriod)
--- a/internal/core/suspect/doc.go
+++ b/internal/core/suspect/doc.go
@@ -3,7 +3,7 @@
 // An upstream that crashes takes all of its running requests with it, tens of them, of
 // which one may be the cause. A request is recognised by its fingerprint: what it asks for
 // and for whom, whatever identity its caller gives it. The evidence against it is a
-// sequence of upstream instances that crashed while running it, one after the other, each
+// sequence of upstream incarnations that crashed while running it, one after the other, each
 // before the request had run for long. Two crashes quarantine the request: it runs alone,
 // where it affects the fewest other requests, and only once for each call. Three crashes
 // block it. One run that an upstream survives clears the request, and so does another
@@ -23,7 +23,7 @@
 //	case suspect.Quarantined: // run it alone
 //		defer r.Release(fingerprint)
 //	}
-//	r.RecordCrash(now, fingerprint, start, ran) // the instance crashed while running it
+//	r.RecordCrash(now, fingerprint, start, ran) // the incarnation crashed while running it
 //	r.RecordSuccess(now, fingerprint)           // it was answered, or ran for long enough
 //	m := r.NextMessage(peer, false)             // message to another gateway
 //	r.Receive(now, peer, m, 0)
--- a/internal/core/suspect/fuzz_test.go
+++ b/internal/core/suspect/fuzz_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// FuzzHear feeds a registry with arbitrary messages of another gateway. The registry stays
-// within its bounds, and blocks nothing on the report of a single witness.
-func FuzzHear(f *testing.F) {
+// FuzzReceive feeds a registry with arbitrary messages of another gateway. The registry
+// stays within its bounds, and blocks nothing on the report of a single witness.
+func FuzzReceive(f *testing.F) {
 	f.Add([]byte{})
 	f.Add(binary.BigEndian.AppendUint64(make([]byte, 40), 1<<63))
 	f.Add([]byte("\x01\x00\x00\x00\x00\x00\x00\x00\x01\x01\x01\x00\x00\x00\x00\x00\x00\x00\x02\x01\x01\x00\x00\x00\x00\x00\x00\x00\x03\x01"))
--- a/internal/core/suspect/observation.go
+++ b/internal/core/suspect/observation.go
@@ -20,8 +20,8 @@
 	Print Print
 	// Round is the number of times that the request had been cleared before.
 	Round uint32
-	// Start identifies the upstream instance that crashed; 0 if the observation clears the
-	// request of all earlier rounds.
+	// Start identifies the upstream incarnation that crashed; 0 if the observation clears
+	// the request of all earlier rounds.
 	Start uint64
 	// Witness is the gateway that made the observation.
 	Witness uint64
@@ -111,8 +111,8 @@
 	return p
 }
 
-// NextMessage returns the next message to the gateway at the address. If ownOnly is set, it leaves
-// out observations received from others.
+// NextMessage returns the next message to the gateway at the address. If ownOnly is set,
+// it leaves out observations received from others.
 func (r *Registry) NextMessage(address string, ownOnly bool) Message {
 	p := r.peer(address)
 	words, upto := r.log.since(p.acked, func(o Observation) bool { return !ownOnly || o.Witness == r.self })
--- a/internal/core/suspect/record.go
+++ b/internal/core/suspect/record.go
@@ -26,11 +26,11 @@
 	maxCrashes = 8
 )
 
-// crash is an upstream instance that ended while running a request.
+// crash is an upstream incarnation that crashed while running a request.
 type crash struct {
-	start   uint64
-	witness uint64
-	at      time.Time
+	incarnation uint64
+	witness     uint64
+	at          time.Time
 	// ran is the time from sending the request there to the crash.
 	ran time.Duration
 }
@@ -64,7 +64,7 @@
 // add adds a crash. It returns false if the crash is known already.
 func (r *record) add(c crash, self uint64) bool {
 	for i := range r.crashes {
-		if r.crashes[i].start != c.start {
+		if r.crashes[i].incarnation != c.incarnation {
 			continue
 		}
 		if c.witness == self {
@@ -108,7 +108,7 @@
 // covers reports whether the request was present at all crashes of the other one.
 func (r *record) covers(other *record) bool {
 	for _, c := range other.crashes {
-		if !slices.ContainsFunc(r.crashes, func(own crash) bool { return own.start == c.start }) {
+		if !slices.ContainsFunc(r.crashes, func(own crash) bool { return own.incarnation == c.incarnation }) {
 			return false
 		}
 	}
--- a/internal/core/suspect/registry.go
+++ b/internal/core/suspect/registry.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// RecordCrash records that an upstream instance crashed while running the request, which
-// this gateway had sent there that long before.
+// RecordCrash records that an upstream incarnation crashed while running the request,
+// which this gateway had sent there that long before.
 func (r *Registry) RecordCrash(now time.Time, p Print, start uint64, ran time.Duration) {
 	o := Observation{Print: p, Start: start, Witness: r.self, At: now, Ran: ran}
 	if rec, ok := r.records[p]; ok {
@@ -203,7 +203,7 @@
 			return true
 		}
 	}
-	if o.clears() || !rec.add(crash{start: o.Start, witness: o.Witness, at: o.At, ran: o.Ran}, r.self) {
+	if o.clears() || !rec.add(crash{incarnation: o.Start, witness: o.Witness, at: o.At, ran: o.Ran}, r.self) {
 		return false
 	}
 	r.log.add(o)
--- a/internal/core/suspect/registry_test.go
+++ b/internal/core/suspect/registry_test.go
@@ -132,7 +132,7 @@
 
 // A flood of crashes, or of suspects made on purpose, stays within the size limits and does
 // not evict records with certain evidence.
-func TestFlood(t *testing.T) {
+func TestSizeLimits(t *testing.T) {
 	is := is.New(t)
 	r := NewRegistry(1, 1)
 	feed(r, []observation{{1, "p", 1, 0, 0, 0}, {2, "p", 2, 0, 0, 0}, {3, "p", 3, 0, 0, 0}})
@@ -154,7 +154,7 @@
 
 // A restarted gateway receives all that its relay knows, also if nothing new happens. Empty
 // messages are not sent.
-func TestNewcomer(t *testing.T) {
+func TestRestartedGatewayCatchesUp(t *testing.T) {
 	is := is.New(t)
 	relay := NewRegistry(1, 1)
 	feed(relay, []observation{{1, "p", 1, 0, 0, 0}, {2, "p", 2, 0, 7, 0}, {3, "p", 3, 0, 8, 0}})
@@ -178,7 +178,7 @@
 // All gateways of an availability zone reach the same verdict over bad links to their
 // relay: messages are lost in either direction, duplicated or late, and one gateway
 // restarts.
-func TestWordsOverBadLinks(t *testing.T) {
+func TestMessagesOverBadLinks(t *testing.T) {
 	for seed := range uint64(50) {
 		is := is.New(t)
 		rng := rand.New(rand.NewPCG(seed, 5))
--- a/internal/core/warmup/warmup.go
+++ b/internal/core/warmup/warmup.go
@@ -8,7 +8,7 @@
 //
 // In any second a holder sends at most one request plus those that its rate adds. If the
 // upstream tolerates three requests per second or more, Split leaves room for a second
-// full set of holders, as in a fleet whose halves have never heard of each other.
+// full set of holders, as in a fleet whose halves have never learned of each other.
 //
 // # Usage
 //
--- a/internal/edge/agentd/answer.go
+++ b/internal/edge/agentd/answer.go
@@ -77,7 +77,7 @@
 	if end.Result != upstream.Complete {
 		x.s.metrics.Wasted.WithLabelValues(x.offer.GetClass()).Add(float64(x.tokens.Load()))
 		return true, x.fail(&gladegaugev1.Failed{
-			NotRun: end.Result == upstream.NotAccepted, Detail: errorText(end.Err), Load: load, EndedStart: x.crashedInstance(ctx, end),
+			NotRun: end.Result == upstream.NotAccepted, Detail: errorText(end.Err), Load: load, EndedStart: x.crashedIncarnation(ctx, end),
 		})
 	}
 	ended := &gladegaugev1.End{Length: uint64(end.Length), Tokens: uint32(produced), Load: load}
--- a/internal/edge/agentd/end.go
+++ b/internal/edge/agentd/end.go
@@ -31,10 +31,10 @@
 // recordResponse records that the upstream has responded.
 func (u *crashCounter) recordResponse() { u.crashed = false }
 
-// crashedInstance returns the hash that identifies the upstream instance if it crashed
+// crashedIncarnation returns the hash that identifies the upstream incarnation if it crashed
 // during the run. It returns 0 if the upstream still listens, or if the agent itself
 // stopped the run.
-func (x *session) crashedInstance(ctx context.Context, end upstream.End) uint64 {
+func (x *session) crashedIncarnation(ctx context.Context, end upstream.End) uint64 {
 	if end.Result != upstream.Aborted || x.stopping || x.retryElsewhere || x.entryGone {
 		return 0
 	}
@@ -43,10 +43,10 @@
 	if !x.s.upstream.RefusesConnections(ctx) {
 		return 0
 	}
-	var instance uint64
+	var key uint64
 	x.s.loop.DoWithoutCancel(func(time.Time) {
 		x.s.crashes.recordCrash()
-		instance = rendezvous.Mix(xxhash.Sum64String(x.s.incarnation), x.s.crashes.n)
+		key = rendezvous.Mix(xxhash.Sum64String(x.s.incarnation), x.s.crashes.n)
 	})
-	return instance
+	return key
 }
--- a/internal/edge/entryd/attempt.go
+++ b/internal/edge/entryd/attempt.go
@@ -18,13 +18,13 @@
 
 // attempt is the stream of one attempt to its agent.
 type attempt struct {
-	id        string
-	agent     string
-	address   string
-	stream    *attemptStream
-	cancel    context.CancelFunc
-	settled   bool
-	offeredAt time.Time
+	id          string
+	agent       string
+	address     string
+	stream      *attemptStream
+	cancel      context.CancelFunc
+	offerClosed bool
+	offeredAt   time.Time
 }
 
 // attemptEvent is an event received on the stream of attempt n. A nil event means that
@@ -113,13 +113,13 @@
 	})
 }
 
-// settle records that the agent responded to the offer, or that the offer was lost. It
+// closeOffer records that the agent responded to the offer, or that the offer was lost. It
 // runs in the control loop.
-func (x *call) settle(now time.Time, a *attempt, lost bool) {
-	if a.settled {
+func (x *call) closeOffer(now time.Time, a *attempt, lost bool) {
+	if a.offerClosed {
 		return
 	}
-	a.settled = true
+	a.offerClosed = true
 	x.s.entry.OfferAnswered(a.agent)
 	if lost {
 		x.s.entry.AgentFailed(now, a.agent)
--- a/internal/edge/entryd/call.go
+++ b/internal/edge/entryd/call.go
@@ -162,8 +162,8 @@
 	x.s.loop.DoWithoutCancel(func(now time.Time) {
 		effects = x.admitted.Tick(now)
 		for n, a := range x.attempts {
-			if !a.settled && now.Sub(a.offeredAt) > offerTimeout {
-				x.settle(now, a, true)
+			if !a.offerClosed && now.Sub(a.offeredAt) > offerTimeout {
+				x.closeOffer(now, a, true)
 				a.cancel()
 				effects = append(effects, x.admitted.AttemptLost(now, n, false)...)
 			}
--- a/internal/edge/entryd/events.go
+++ b/internal/edge/entryd/events.go
@@ -31,7 +31,7 @@
 	var effects []dispatch.Effect
 	x.s.loop.DoWithoutCancel(func(now time.Time) {
 		effects = x.attemptLost(now, n, a, false)
-		x.settle(now, a, false)
+		x.closeOffer(now, a, false)
 	})
 	return effects
 }
@@ -51,7 +51,7 @@
 func (x *call) onStateChange(n int, a *attempt, event *gladegaugev1.AttemptEvent) []dispatch.Effect {
 	var effects []dispatch.Effect
 	x.s.loop.DoWithoutCancel(func(now time.Time) {
-		x.settle(now, a, false)
+		x.closeOffer(now, a, false)
 		x.recordLoad(now, a, event)
 		switch ev := event.GetEvent().(type) {
 		case *gladegaugev1.AttemptEvent_Granted:
--- a/internal/edge/entryd/outcome.go
+++ b/internal/edge/entryd/outcome.go
@@ -16,7 +16,7 @@
 		return
 	}
 	for _, a := range x.attempts {
-		x.settle(now, a, false)
+		x.closeOffer(now, a, false)
 	}
 	x.s.entry.Finished(now, x.admitted, x.claimedAgent, x.outcome)
 }
--- a/internal/edge/exchange/exchange.go
+++ b/internal/edge/exchange/exchange.go
@@ -42,8 +42,8 @@
 
 // Options are the settings of a client.
 type Options struct {
-	// KeepAlive returns how long the upstream keeps an idle connection open, from the headers
-	// of its response; 0 if the upstream does not state it.
+	// KeepAlive returns how long the upstream keeps an idle connection open, from the
+	// headers of its response; 0 if the upstream does not state it.
 	KeepAlive func(h http.Header) time.Duration
 	// OnConnect is called for each new connection.
 	OnConnect func()
--- a/internal/edge/exchange/pool.go
+++ b/internal/edge/exchange/pool.go
@@ -107,15 +107,15 @@
 			delete(c.idle, address)
 			continue
 		}
-		kept := list[:0]
+		remaining := list[:0]
 		for _, cn := range list {
 			if now.Before(cn.until) {
-				kept = append(kept, cn)
+				remaining = append(remaining, cn)
 			} else {
 				closing = append(closing, cn)
 			}
 		}
-		c.idle[address] = kept
+		c.idle[address] = remaining
 	}
 	c.mu.Unlock()
 	for _, cn := range closing {
--- a/internal/edge/metrics/metrics.go
+++ b/internal/edge/metrics/metrics.go
@@ -75,7 +75,7 @@
 		Rejected:      factory.Counter("configuration_rejected_total", "Published configurations that were rejected."),
 		Conflicts:     factory.Counter("configuration_conflicts_total", "Documents with a revision in force and other content."),
 		PlatformCalls: factory.Counters("platform_calls_total", "Calls to the platform by kind and result.", "kind", "result"),
-		Suspects:      factory.Gauges("suspects", "Requests that crashed several upstreams one after the other, by verdict.", "verdict"),
+		Suspects:      factory.Gauges("suspects", "Requests suspected of crashing upstreams, by verdict.", "verdict"),
 		PeerCalls:     factory.Counters("peer_calls_total", "Calls to other processes by kind and result.", "kind", "result"),
 		Watching:      factory.Gauge("watching", "1 if the process watches the platform for its zone."),
 		Hosts:         factory.Gauges("hosts_known", "Hosts on the list in force, by role.", "role"),
--- a/internal/edge/spread/peers.go
+++ b/internal/edge/spread/peers.go
@@ -66,9 +66,9 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req := &gladegaugev1.ExchangeRequest{From: s.o.Self.ID}
-	var asked time.Time
+	var sentAt time.Time
 	prepare := func(now time.Time) {
-		asked = now
+		sentAt = now
 		req.State = s.state(now)
 		req.Suspects = s.suspects.NextMessage(now, address, false)
 	}
@@ -87,7 +87,7 @@
 		want.Zones = s.newerZones(resp.Msg.GetState())
 		if !want.GetManifest() && len(want.GetZones()) == 0 {
 			s.freshness.Confirmed(now)
-			s.recordProof(asked, resp.Msg.GetState())
+			s.recordProof(sentAt, resp.Msg.GetState())
 			want = nil
 		}
 	})
--- a/internal/edge/spread/sync.go
+++ b/internal/edge/spread/sync.go
@@ -141,8 +141,9 @@
 	return &gladegaugev1.Version{Revision: cfg.Revision(), Digest: []byte(cfg.Digest())}
 }
 
-// RecordReport compares a version piggybacked on another process's message with the one in force,
-// and schedules a fetch from that process if it is newer. It runs in the control loop.
+// RecordReport compares a version piggybacked on another process's message with the one
+// in force, and schedules a fetch from that process if it is newer. It runs in the
+// control loop.
 func (s *Sync) RecordReport(v *gladegaugev1.Version, address string) {
 	if s.newer(v, address) {
 		s.pull(address)
@@ -204,12 +205,12 @@
 // recordProof records the platform's confirmation of the version in force that a peer
 // relays. The age in the response counts from the time of the request, the earliest time at
 // which the peer can have stated it. It runs in the control loop.
-func (s *Sync) recordProof(asked time.Time, st *gladegaugev1.PeerState) {
+func (s *Sync) recordProof(sentAt time.Time, st *gladegaugev1.PeerState) {
 	v := st.GetVersion()
 	if st.ProofAgeMs == nil || s.holder.Compare(v.GetRevision(), string(v.GetDigest())) != revision.Same {
 		return
 	}
-	s.freshness.Proved(asked.Add(-time.Duration(st.GetProofAgeMs()) * time.Millisecond))
+	s.freshness.Proved(sentAt.Add(-time.Duration(st.GetProofAgeMs()) * time.Millisecond))
 }
 
 // newerZones returns the zones whose host lists are newer in the other state. It runs in
--- a/internal/edge/suspects/tracker.go
+++ b/internal/edge/suspects/tracker.go
@@ -58,7 +58,7 @@
 	// Request is the request's ID, for logs.
 	Request      string
 	Organisation string
-	// IncarnationKey identifies the upstream instance; Upstream is its name.
+	// IncarnationKey identifies the upstream incarnation; Upstream is its name.
 	IncarnationKey uint64
 	Upstream       string
 	// At is when the request failed, Ran the time from sending it to the failure.
@@ -92,15 +92,15 @@
 	gauge.WithLabelValues(suspect.Blocked.String()).Set(float64(blocked))
 }
 
-// NextMessage returns the next message to the process at the address; nil if it is empty. If own is
-// set, it leaves out observations received from others.
+// NextMessage returns the next message to the process at the address; nil if it is empty.
+// If own is set, it leaves out observations received from others.
 func (t *Tracker) NextMessage(now time.Time, address string, own bool) *gladegaugev1.SuspectWords {
 	return encode(now, t.Registry.NextMessage(address, own))
 }
 
-// Receive processes a message from the process at the address, and reports whether it contained
-// new evidence. All its observations are attributed to witness, the hash of the sender, or
-// keep their witnesses if it is 0.
+// Receive processes a message from the process at the address, and reports whether it
+// contained new evidence. All its observations are attributed to witness, the hash of the
+// sender, or keep their witnesses if it is 0.
 func (t *Tracker) Receive(now time.Time, address string, msg *gladegaugev1.SuspectWords, witness uint64) bool {
 	if msg == nil {
 		return false
