--- a/internal/core/balance/cold.go
+++ b/internal/core/balance/cold.go
@@ -62,9 +62,9 @@
 
 // maySend reports whether this gateway may send the upstream a request: only holders send
 // to a cold upstream or one with a rate limit, each at its own pace.
-func (t *Table) maySend(now time.Time, p *pool, u *upstream, lowestPriority bool) bool {
+func (t *Table) maySend(now time.Time, p *pool, u *upstream, leastUrgent bool) bool {
 	if p.isCold(now, u) && (!u.warmup.MaySend(now) || !t.holds(now, u.hash, p.cold.split.Holders)) {
 		return false
 	}
-	return t.hasTurn(now, u, lowestPriority)
+	return t.hasTurn(now, u, leastUrgent)
 }
--- a/internal/core/balance/gaps.go
+++ b/internal/core/balance/gaps.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// baseGapWindow is how long the shortest gaps of an engine are remembered, at most
+	// baseGapWindow is how long the shortest gaps of an engine are retained, at most
 	// twice as long. Even an engine with constant prefill has a break within this time.
 	baseGapWindow = time.Second
 	// minGapSamples is the minimum number of gaps for a useful sample.
--- a/internal/core/balance/lend.go
+++ b/internal/core/balance/lend.go
@@ -52,12 +52,12 @@
 
 // Lend takes a turn of the upstream on behalf of another gateway. If there is none, it
 // returns the time until there may be one.
-func (t *Table) Lend(now time.Time, incarnation uint64, lowestPriority bool) (time.Duration, bool) {
+func (t *Table) Lend(now time.Time, incarnation uint64, leastUrgent bool) (time.Duration, bool) {
 	for _, u := range t.upstreams {
 		if u.incarnation != incarnation {
 			continue
 		}
-		if !u.present(now) || !t.hasTurn(now, u, lowestPriority) || !t.takeTurn(now, u) {
+		if !u.present(now) || !t.hasTurn(now, u, leastUrgent) || !t.takeTurn(now, u) {
 			return t.untilNextTurn(now, u), false
 		}
 		return 0, true
--- a/internal/core/balance/limited.go
+++ b/internal/core/balance/limited.go
@@ -27,11 +27,11 @@
 	// other gateways reported. A holder that learned it from an answer has already used
 	// its turn.
 	initialTurns = 1
-	// lowPriorityTurnWait is the fraction of the interval between two turns for which a
-	// turn is reserved for more urgent requests. Every lowPriorityTurnInterval-th turn is
+	// leastUrgentTurnWait is the fraction of the interval between two turns for which a
+	// turn is reserved for more urgent requests. Every leastUrgentTurnInterval-th turn is
 	// not reserved, so that the least urgent requests get some.
-	lowPriorityTurnWait     = 0.5
-	lowPriorityTurnInterval = 8
+	leastUrgentTurnWait     = 0.5
+	leastUrgentTurnInterval = 8
 	// holderTTL is how long the result of the holder check is cached, since the check
 	// walks the whole fleet.
 	holderTTL = 500 * time.Millisecond
@@ -123,7 +123,7 @@
 
 // hasTurn reports whether the upstream's rate limit admits a request of this gateway now.
 // Requests of the lowest urgency leave a turn to more urgent ones for a while.
-func (t *Table) hasTurn(now time.Time, u *upstream, lowestPriority bool) bool {
+func (t *Table) hasTurn(now time.Time, u *upstream, leastUrgent bool) bool {
 	if u.notices.LimitReported() {
 		t.applyLimit(now, u, initialTurns)
 	}
@@ -136,8 +136,8 @@
 	}
 	t.updateShare(now, l)
 	next := l.bucket.Next(l.share)
-	if lowestPriority && l.turns%lowPriorityTurnInterval != 0 {
-		next = next.Add(time.Duration(lowPriorityTurnWait * float64(l.share.Interval)))
+	if leastUrgent && l.turns%leastUrgentTurnInterval != 0 {
+		next = next.Add(time.Duration(leastUrgentTurnWait * float64(l.share.Interval)))
 	}
 	return !now.Before(next)
 }
--- a/internal/core/balance/load.go
+++ b/internal/core/balance/load.go
@@ -43,9 +43,9 @@
 	tokens int
 	// targetGap is the longest gap between events that the caller tolerates; 0 for any.
 	targetGap time.Duration
-	// lowestPriority marks a request of the lowest urgency in its pool.
-	lowestPriority bool
-	sentAt         time.Time
+	// leastUrgent marks a request of the lowest urgency in its pool.
+	leastUrgent bool
+	sentAt      time.Time
 	// deadline is when the caller gives up; zero for never.
 	deadline time.Time
 	// started is true after the first event, which arrived at startedAt.
@@ -130,7 +130,7 @@
 	longest := time.Duration(0)
 	for _, u := range p.members {
 		for _, r := range u.running {
-			if r.lowestPriority && !r.started {
+			if r.leastUrgent && !r.started {
 				longest = max(longest, now.Sub(r.sentAt))
 			}
 		}
--- a/internal/core/balance/notices.go
+++ b/internal/core/balance/notices.go
@@ -28,9 +28,9 @@
 	BackoffExtended bool
 	// LimitChanged is true if it changed or withdrew its rate limit.
 	LimitChanged bool
-	// NewlyUnreadable is true if the notice contains a value that cannot be parsed and
+	// NewlyUnparsed is true if the notice contains a value that cannot be parsed and
 	// that differs from the previous one.
-	NewlyUnreadable bool
+	NewlyUnparsed bool
 }
 
 // Notice processes a notice in the answer to a request that was sent to the upstream.
@@ -61,7 +61,7 @@
 		NewlyLeaving:    after.Leaving() && !before.Leaving(),
 		BackoffExtended: after.BackoffUntil().After(before.BackoffUntil()),
 		LimitChanged:    after.Announced() != before.Announced(),
-		NewlyUnreadable: after.Unparsed() != before.Unparsed(),
+		NewlyUnparsed:   after.Unparsed() != before.Unparsed(),
 	}
 }
 
--- a/internal/core/balance/outcome.go
+++ b/internal/core/balance/outcome.go
@@ -58,7 +58,7 @@
 	r.started, r.startedAt = true, now
 	u.health = u.health.WithResponseStart(now)
 	r.unread = 0
-	if r.lowestPriority {
+	if r.leastUrgent {
 		t.pool(u.Pool).queue.ResponseStarted(now, now.Sub(r.sentAt))
 	}
 	if c.prompt.Tokens > 0 {
--- a/internal/core/balance/pick.go
+++ b/internal/core/balance/pick.go
@@ -248,7 +248,7 @@
 	if u.awaitingSince.IsZero() {
 		u.awaitingSince = now
 	}
-	sent := &run{route: r.Route, organisation: r.Organisation, unread: c.Unread, targetGap: r.TargetGap, lowestPriority: r.Least, sentAt: now, deadline: r.Deadline}
+	sent := &run{route: r.Route, organisation: r.Organisation, unread: c.Unread, targetGap: r.TargetGap, leastUrgent: r.Least, sentAt: now, deadline: r.Deadline}
 	if r.Prompt.Tokens > 0 {
 		sent.expected = float64(u.unread(now, p.speed.tokensPerMs())+c.Unread) / p.speed.tokensPerMs()
 		sent.tokens = p.requestTokens(r)
--- a/internal/core/balance/throttle.go
+++ b/internal/core/balance/throttle.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// throttleTTL is how long the organisation that an upstream throttled is remembered.
+	// throttleTTL is how long the organisation that an upstream throttled is retained.
 	throttleTTL = 2 * time.Second
 	// maxThrottledShare is the fraction of a pool's available upstreams that may throttle
 	// an organisation before the organisation is considered the cause.
--- a/internal/core/balance/throttle_test.go
+++ b/internal/core/balance/throttle_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// A throttled organisation is forgotten after throttleTTL.
+// A throttled organisation expires after throttleTTL.
 func TestThrottleExpires(t *testing.T) {
 	is := is.New(t)
 	table := tableWith(2)
--- a/internal/core/feed/feed.go
+++ b/internal/core/feed/feed.go
@@ -24,7 +24,7 @@
 	"time"
 )
 
-// maxTombstones is the number of removed entries that are remembered. When there are more
+// maxTombstones is the number of removed entries that are retained. When there are more
 // they are all dropped, and a follower that may have missed one gets a full snapshot.
 const maxTombstones = 1000
 
@@ -73,7 +73,7 @@
 	position Position
 	// compactedRevision is the revision of this epoch since which all changes are known.
 	compactedRevision int64
-	// tombstones is the number of removed entries that are remembered.
+	// tombstones is the number of removed entries that are retained.
 	tombstones int
 }
 
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -2,7 +2,7 @@
 //
 // There is no central list of gateways. Each one has a few seed addresses in its
 // settings, exchanges its state with one other gateway a second (gossip), and so learns
-// of all of them. A gateway whose heartbeat has not risen for a while is forgotten. No
+// of all of them. A gateway whose heartbeat has not risen for a while is removed. No
 // guarantee depends on this package: the state may be stale or wrong, and a gateway that
 // knows no other acts alone.
 //
@@ -69,7 +69,7 @@
 	callBackoff = 3 * time.Second
 	// maxBackoffDoublings limits how often callBackoff is doubled.
 	maxBackoffDoublings = 4
-	// peakSizeWindow is how long the largest size of the fleet is remembered: the parts
+	// peakSizeWindow is how long the largest size of the fleet is retained: the parts
 	// of a partitioned fleet must not count themselves as the whole.
 	peakSizeWindow = time.Minute
 )
@@ -143,7 +143,7 @@
 	if len(f.peers) > 0 && f.joinedAt.IsZero() {
 		f.joinedAt = now
 	}
-	f.forget(now)
+	f.expire(now)
 	f.Size(now)
 }
 
@@ -153,10 +153,10 @@
 	return basePeerTimeout * time.Duration(1+len(f.peers)/MaxSample)
 }
 
-// forget removes the gateways whose heartbeat is older than the retention time. Until
+// expire removes the gateways whose heartbeat is older than the retention time. Until
 // then the last heartbeat is retained, so that outdated state that other gateways still
 // pass on does not revive them.
-func (f *Fleet) forget(now time.Time) {
+func (f *Fleet) expire(now time.Time) {
 	peerTimeout := retentionFactor * f.peerTimeout()
 	for address, p := range f.peers {
 		if now.Sub(p.lastHeartbeat) > peerTimeout {
@@ -182,7 +182,7 @@
 }
 
 // sorted returns all peers by address. The result is cached: it is requested many times a
-// second and changes only when a peer is added or forgotten.
+// second and changes only when a peer is added or removed.
 func (f *Fleet) sorted() []*peer {
 	if f.byAddress == nil {
 		f.byAddress = slices.SortedFunc(maps.Values(f.peers), func(a, b *peer) int {
--- a/internal/core/fleet/hold.go
+++ b/internal/core/fleet/hold.go
@@ -15,7 +15,7 @@
 const holdDelay = 2 * time.Second
 
 // Holds reports whether this gateway is one of the first n in rendezvous order for the
-// key. Gateways count for as long as they are remembered, dead or alive: a partitioned
+// key. Gateways count for as long as they are retained, dead or alive: a partitioned
 // gateway does not take over keys that only seem orphaned. A gateway that has seeds and
 // has never learned of another gateway holds no keys.
 func (f *Fleet) Holds(now time.Time, key uint64, n int) bool {
@@ -67,5 +67,5 @@
 	return list[random%uint64(len(list))].address, true
 }
 
-// Remembered returns the number of gateways that Holds counts, including this one.
-func (f *Fleet) Remembered() int { return 1 + len(f.peers) }
+// Retained returns the number of gateways that Holds counts, including this one.
+func (f *Fleet) Retained() int { return 1 + len(f.peers) }
--- a/internal/core/occupancy/intervals.go
+++ b/internal/core/occupancy/intervals.go
@@ -11,9 +11,9 @@
 	// at that interval. With more of them the interval grows, so that the work of the
 	// relay is bounded.
 	MembersPerBaseInterval = 16
-	// retentionIntervals is the number of reporting intervals for which a report stays
+	// ttlIntervals is the number of reporting intervals for which a report stays
 	// valid: a few reports may be lost.
-	retentionIntervals = 7
+	ttlIntervals = 7
 )
 
 // MemberInterval is the interval at which each of n gateways of one relay reports.
@@ -51,8 +51,8 @@
 	return p
 }
 
-// retention is how long a report stays valid.
-func (p Intervals) retention() time.Duration { return retentionIntervals * max(p.Members, p.zonesIdle) }
+// ttl is how long a report stays valid.
+func (p Intervals) ttl() time.Duration { return ttlIntervals * max(p.Members, p.zonesIdle) }
 
 // Age is the mean age of reports on arrival: half an interval for each hop from a gateway
 // up to the relay of its zone, on to another zone, and down again.
--- a/internal/core/occupancy/occupancy_test.go
+++ b/internal/core/occupancy/occupancy_test.go
@@ -151,7 +151,7 @@
 		is := is.New(t)
 		p := IntervalsFor(tt.zone, tt.cell, tt.busy)
 		is.Equal(p.Age(), tt.age)
-		is.True(p.retention() >= 3*p.zonesIdle)
+		is.True(p.ttl() >= 3*p.zonesIdle)
 		p.zonesIdle = 0
 		is.Equal(p, tt.want)
 	}
--- a/internal/core/occupancy/report_set.go
+++ b/internal/core/occupancy/report_set.go
@@ -32,10 +32,10 @@
 	s.sum.add(l)
 }
 
-// expire drops the reports that are older than the retention.
-func (s *reportSet) expire(now time.Time, retention time.Duration) {
+// expire drops the reports that are older than ttl.
+func (s *reportSet) expire(now time.Time, ttl time.Duration) {
 	for from, r := range s.by {
-		if now.Sub(r.at) > retention {
+		if now.Sub(r.at) > ttl {
 			s.sum.subtract(r.loads)
 			delete(s.by, from)
 		}
--- a/internal/core/occupancy/tracker.go
+++ b/internal/core/occupancy/tracker.go
@@ -19,10 +19,10 @@
 	peers   *reportSet
 	// fromRelay is the relay's latest sum over all other gateways.
 	fromRelay report
-	// retention is how long a report stays valid, meanAge how old reports are on arrival
+	// ttl is how long a report stays valid, meanAge how old reports are on arrival
 	// on average.
-	retention time.Duration
-	meanAge   time.Duration
+	ttl     time.Duration
+	meanAge time.Duration
 }
 
 // New returns a tracker without reports.
@@ -35,19 +35,19 @@
 // SetIntervals sets the intervals at which gateways report: the longer they are, the
 // longer a report stays valid.
 func (t *Tracker) SetIntervals(p Intervals) {
-	t.retention = p.retention()
+	t.ttl = p.ttl()
 	t.meanAge = p.Age()
 }
 
 // TTL is how long a report stays valid.
-func (t *Tracker) TTL() time.Duration { return t.retention }
+func (t *Tracker) TTL() time.Duration { return t.ttl }
 
 // Age is the mean age of other gateways' reports on arrival.
 func (t *Tracker) Age() time.Duration { return t.meanAge }
 
 // fresh reports whether the report is still valid.
 func (t *Tracker) fresh(now time.Time, r report) bool {
-	return !r.at.IsZero() && now.Sub(r.at) <= t.retention
+	return !r.at.IsZero() && now.Sub(r.at) <= t.ttl
 }
 
 // SetOwn sets the load of the gateway itself.
@@ -125,8 +125,8 @@
 
 // expire drops the reports that are no longer valid.
 func (t *Tracker) expire(now time.Time) {
-	t.members.expire(now, t.retention)
-	t.peers.expire(now, t.retention)
+	t.members.expire(now, t.ttl)
+	t.peers.expire(now, t.ttl)
 }
 
 // zoneKey keeps the names of availability zones apart from the addresses of gateways.
--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -238,7 +238,7 @@
 			if now.Before(g.suspendedUntil) || now.Before(g.limitAt) || !g.isHolder(now, key, split.Holders) {
 				continue
 			}
-			share := split.Share(g.fleet.Remembered())
+			share := split.Share(g.fleet.Retained())
 			if !g.started {
 				g.bucket, g.share, g.started = quota.NewBucket(now, share, 1), share, true
 			}
--- a/internal/core/reader/bounds.go
+++ b/internal/core/reader/bounds.go
@@ -77,16 +77,16 @@
 	return limit - v.Age
 }
 
-// nextWatchWait returns the usual wait less the age of the view. A watch that returned
+// nextWatchWait returns the default wait less the age of the view. A watch that returned
 // changes proves only the state at the time of its request; if the next one took the
-// usual wait, the followers would find the view stale and all query the store.
+// default wait, the followers would find the view stale and all query the store.
 func (b Bounds) nextWatchWait(v View) time.Duration {
-	usual := b.DefaultWatchWait()
+	defaultWait := b.DefaultWatchWait()
 	if !v.InForce {
-		return usual
+		return defaultWait
 	}
-	shortest := time.Duration(minWatchShare * float64(usual))
-	return min(usual, max(shortest, usual-v.Age))
+	shortest := time.Duration(minWatchShare * float64(defaultWait))
+	return min(defaultWait, max(shortest, defaultWait-v.Age))
 }
 
 // MaxQueryInterval returns the longest interval between the starts of two queries to the
--- a/internal/core/reader/reader.go
+++ b/internal/core/reader/reader.go
@@ -205,9 +205,9 @@
 
 // PeerStateReceived records that another gateway sent its state, and whether that is
 // ahead of what was known.
-func (r *Reader) PeerStateReceived(further bool) {
+func (r *Reader) PeerStateReceived(ahead bool) {
 	r.listed = false
-	if further {
+	if ahead {
 		r.needsRelist = false
 	}
 }
--- a/internal/core/reader/simulation_test.go
+++ b/internal/core/reader/simulation_test.go
@@ -293,7 +293,7 @@
 	took, stalled, gone := wait, w.watchesStall(w.now, w.now.Add(wait)), false
 	if w.newest(w.now) > m.version {
 		took = 0
-		gone = w.forgotten(m)
+		gone = w.historyCompacted(m)
 	}
 	for _, d := range w.writes {
 		if until := t0.Add(d).Sub(w.now); !stalled && until > 0 && until < took {
@@ -319,9 +319,9 @@
 	return false
 }
 
-// forgotten reports whether the store no longer has the changes that follow the gateway's
-// state.
-func (w *simulation) forgotten(m *member) bool {
+// historyCompacted reports whether the store no longer has the changes that follow the
+// gateway's state.
+func (w *simulation) historyCompacted(m *member) bool {
 	for _, t := range w.faults {
 		if t.kind == compacted && !w.now.Before(t0.Add(t.from)) && w.writes[m.version] < t.until {
 			return true
--- a/internal/core/revision/revision.go
+++ b/internal/core/revision/revision.go
@@ -107,8 +107,8 @@
 	return Accepted, nil
 }
 
-// reject remembers an invalid document so that it is not fetched again. A document with
-// shards that did not match their digests is not remembered, because it may still arrive
+// reject records an invalid document so that it is not fetched again. A document with
+// shards that did not match their digests is not recorded, because it may still arrive
 // intact.
 func (h *Holder) reject(m *gladegaugev1.Manifest, faults config.Faults) {
 	for _, fault := range faults {
--- a/internal/core/roster/restore.go
+++ b/internal/core/roster/restore.go
@@ -6,7 +6,7 @@
 	"github.com/gladegauge/gladegauge/internal/core/balance"
 )
 
-// tombstoneTTL is how long a removed upstream is remembered. It is far longer than the
+// tombstoneTTL is how long a removed upstream is retained. It is far longer than the
 // age of a copy of the store.
 const tombstoneTTL = time.Minute
 
@@ -78,8 +78,8 @@
 	delete(r.expired, id)
 }
 
-// purgeTombstones forgets removals older than tombstoneTTL.
-func (r *Roster) purgeTombstones(now time.Time) {
+// expireTombstones deletes removals older than tombstoneTTL.
+func (r *Roster) expireTombstones(now time.Time) {
 	for id, tombstone := range r.tombstone {
 		if now.Sub(tombstone.at) > tombstoneTTL {
 			delete(r.tombstone, id)
--- a/internal/core/roster/restore_test.go
+++ b/internal/core/roster/restore_test.go
@@ -86,7 +86,7 @@
 			r.Change(at(-900), nil, []string{"a"})
 			restore(r, []balance.Instance{{ID: "a", Born: 6}, {ID: "b", Born: 5}})
 		}, 0, "ab", ""},
-		{"an old removal is forgotten", func(r *Roster) {
+		{"an old removal has expired", func(r *Roster) {
 			r.Change(at(-61_000), nil, []string{"a"})
 			r.Change(at(-900), listed("b"), nil)
 			restore(r, listed("ab"))
--- a/internal/core/roster/roster.go
+++ b/internal/core/roster/roster.go
@@ -121,7 +121,7 @@
 
 // Change applies added, changed and removed upstreams.
 func (r *Roster) Change(now time.Time, changed []balance.Instance, removed []string) {
-	r.purgeTombstones(now)
+	r.expireTombstones(now)
 	r.expirySeen = r.expirySeen || r.indicatesExpiry(changed, removed)
 	for _, in := range changed {
 		r.put(in)
--- a/internal/edge/gatewayd/notice.go
+++ b/internal/edge/gatewayd/notice.go
@@ -65,7 +65,7 @@
 		limit := said.State.Announced()
 		line(noticeLimit).Bool("limited", limit.Announced).Float64("per_second", limit.PerSecond).Msg("upstream changes its limit")
 	}
-	if said.NewlyUnreadable {
+	if said.NewlyUnparsed {
 		text := n.Unparsed[:min(len(n.Unparsed), unreadMost)]
 		line(noticeUnread).Str("text", text).Msg("upstream says what cannot be read")
 	}
--- a/internal/edge/gatewayd/server.go
+++ b/internal/edge/gatewayd/server.go
@@ -157,7 +157,7 @@
 	bounds := admissionBounds(o.Settings.Bounds)
 	s.bounds.Store(&bounds)
 	s.table.SetColdLimits(coldLimits(o.Settings.Bounds), s.holds)
-	s.table.SetLimitBounds(limitBounds(), func() int { return s.fleet.Remembered() })
+	s.table.SetLimitBounds(limitBounds(), func() int { return s.fleet.Retained() })
 	s.view.Store(&ingress.View{})
 	s.metrics = newServerMetrics(o.LogsDropped, func() uint64 { return viewAgeMs(s.view.Load(), s.now()) })
 	s.peerTransport = newPeerTransport(s.metrics.peerBytes)
