--- a/internal/core/agent/attempt.go
+++ b/internal/core/agent/attempt.go
@@ -165,7 +165,7 @@
 	r.produced = produced
 	r.lastTokenAt = now
 	if d := now.Sub(r.observedAt); d >= minSpeedInterval {
-		a.learnSpeed(produced-r.observed, d)
+		a.observeSpeed(produced-r.observed, d)
 		r.observed = produced
 		r.observedAt = now
 	}
@@ -187,7 +187,7 @@
 			a.adjustSlackFactor(r.item.Class, now.Sub(r.item.Arrived) <= r.item.Class.Completion)
 		}
 		if r.produced <= 1 {
-			a.learnSpeed(1, now.Sub(r.started))
+			a.observeSpeed(1, now.Sub(r.started))
 		}
 	case NeverRan:
 		if o := a.offers[id]; o.Key != "" {
--- a/internal/core/agent/lifecycle.go
+++ b/internal/core/agent/lifecycle.go
@@ -88,7 +88,7 @@
 func (a *Agent) Tick(now time.Time) []Effect {
 	paused := a.paused(now)
 	if !a.lastTick.IsZero() {
-		a.learnRates(now.Sub(a.lastTick))
+		a.observeRates(now.Sub(a.lastTick))
 	}
 	a.lastTick = now
 	a.ledger.Sweep(now)
--- a/internal/core/agent/load.go
+++ b/internal/core/agent/load.go
@@ -87,9 +87,9 @@
 // longWindowTarget is the start target above which a class uses the long window.
 const longWindowTarget = 30 * time.Second
 
-// learnRates updates the token rates of the tiers after a time d since the last
+// observeRates updates the token rates of the tiers after a time d since the last
 // tick.
-func (a *Agent) learnRates(d time.Duration) {
+func (a *Agent) observeRates(d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -128,9 +128,9 @@
 	return min(lead, time.Duration(maxLead*float64(class.StartTarget())))
 }
 
-// learnSpeed updates the speed estimate with the tokens that one run produced in
+// observeSpeed updates the speed estimate with the tokens that one run produced in
 // time d.
-func (a *Agent) learnSpeed(tokens int, d time.Duration) {
+func (a *Agent) observeSpeed(tokens int, d time.Duration) {
 	if d <= 0 || tokens <= 0 {
 		return
 	}
--- a/internal/core/balance/gap_targets_test.go
+++ b/internal/core/balance/gap_targets_test.go
@@ -96,7 +96,7 @@
 	o := make(outputs)
 	r := Request{Route: "r", Prompt: Prompt{MaxOutput: 200}}
 	is.Equal(o.expected(r), 100.0)
-	o.learn("r", 40)
+	o.observe("r", 40)
 	is.Equal(o.expected(r), 40.0)
 	r.Prompt.OutputHint = 70
 	is.Equal(o.expected(r), 70.0)
--- a/internal/core/balance/gaps.go
+++ b/internal/core/balance/gaps.go
@@ -56,8 +56,8 @@
 	at          time.Time
 }
 
-// learn records a typical gap.
-func (t *baseGap) learn(now time.Time, gap float64) {
+// observe records a typical gap.
+func (t *baseGap) observe(now time.Time, gap float64) {
 	if now.Sub(t.windowStart) > baseGapWindow {
 		t.previous, t.gap, t.windowStart = t.gap, 0, now
 		if now.Sub(t.at) > baseGapWindow {
--- a/internal/core/balance/memory.go
+++ b/internal/core/balance/memory.go
@@ -12,12 +12,12 @@
 	return r.Prompt.Tokens + int(p.outputs.expected(r))
 }
 
-// learnTokens updates the mean memory of a request.
-func (p *pool) learnTokens(tokens int) {
+// observeTokens updates the mean memory of a request.
+func (p *pool) observeTokens(tokens int) {
 	if p.meanTokens == 0 {
 		p.meanTokens = float64(tokens)
 	}
-	p.meanTokens += ewmaWeight * (float64(tokens) - p.meanTokens)
+	p.meanTokens += smoothing * (float64(tokens) - p.meanTokens)
 }
 
 // overflow is the number of tokens by which the requests would exceed the engine's memory
--- a/internal/core/balance/outcome.go
+++ b/internal/core/balance/outcome.go
@@ -62,7 +62,7 @@
 		t.pool(u.Pool).queue.ResponseStarted(now, now.Sub(r.sentAt))
 	}
 	if c.prompt.Tokens > 0 {
-		t.pool(u.Pool).speed.learn(c.Unread, now.Sub(r.sentAt))
+		t.pool(u.Pool).speed.observe(c.Unread, now.Sub(r.sentAt))
 		t.announceParts(u, u.cache.record(now, c.prompt, c.keys, true))
 	}
 }
@@ -72,10 +72,10 @@
 	if u, ok := t.upstreams[id]; ok {
 		u.received(now)
 		if gap, ok := g.meanGap(); ok {
-			u.meanGap.learn(now, gap, meanGapWeight)
+			u.meanGap.observe(now, gap, meanGapWeight)
 		}
 		if gap, ok := g.typical(); ok {
-			u.baseGap.learn(now, gap)
+			u.baseGap.observe(now, gap)
 		}
 	}
 }
@@ -130,11 +130,11 @@
 			r.startedAt = now // The whole answer arrived at once.
 		}
 		u.health = u.health.WithResponse(r.startedAt)
-		u.latency.learn(now, now.Sub(r.sentAt))
+		u.latency.observe(now, now.Sub(r.sentAt))
 		if t.pool(u.Pool).gapTargets.isTight(r.targetGap) {
-			u.longestGap.learn(now, milliseconds(a.LongestGap), longestGapWeight)
+			u.longestGap.observe(now, milliseconds(a.LongestGap), longestGapWeight)
 		}
-		t.pool(u.Pool).learnOutput(r, a.Tokens)
+		t.pool(u.Pool).observeOutput(r, a.Tokens)
 	case Refused:
 		u.received(now)
 		if !u.notices.InBackoff(now) {
--- a/internal/core/balance/outputs.go
+++ b/internal/core/balance/outputs.go
@@ -11,18 +11,18 @@
 	return r.Prompt.expectedOutput()
 }
 
-// learn records the number of tokens of an answer of the route.
-func (o outputs) learn(route string, tokens int) {
+// observe records the number of tokens of an answer of the route.
+func (o outputs) observe(route string, tokens int) {
 	mean, ok := o[route]
 	if !ok {
 		mean = float64(tokens)
 	}
-	o[route] = mean + ewmaWeight*(float64(tokens)-mean)
+	o[route] = mean + smoothing*(float64(tokens)-mean)
 }
 
-// learnOutput records the number of tokens of an answer.
-func (p *pool) learnOutput(r *run, tokens int) {
+// observeOutput records the number of tokens of an answer.
+func (p *pool) observeOutput(r *run, tokens int) {
 	if r.tokens > 0 {
-		p.outputs.learn(r.route, tokens)
+		p.outputs.observe(r.route, tokens)
 	}
 }
--- a/internal/core/balance/pick.go
+++ b/internal/core/balance/pick.go
@@ -252,7 +252,7 @@
 	if r.Prompt.Tokens > 0 {
 		sent.expected = float64(u.unread(now, p.speed.tokensPerMs())+c.Unread) / p.speed.tokensPerMs()
 		sent.tokens = p.requestTokens(r)
-		p.learnTokens(sent.tokens)
+		p.observeTokens(sent.tokens)
 		t.announceParts(u, u.cache.record(now, r.Prompt, c.keys, false))
 	}
 	u.running[c.run] = sent
--- a/internal/core/balance/recent.go
+++ b/internal/core/balance/recent.go
@@ -8,8 +8,8 @@
 	at   time.Time
 }
 
-// learn adds a sample; weight is its weight in the new mean.
-func (r *recentMean) learn(now time.Time, sample, weight float64) {
+// observe adds a sample; weight is its weight in the new mean.
+func (r *recentMean) observe(now time.Time, sample, weight float64) {
 	if _, ok := r.value(now); !ok {
 		r.mean = sample
 	}
--- a/internal/core/balance/speed.go
+++ b/internal/core/balance/speed.go
@@ -16,8 +16,8 @@
 	// defaultLatency is the assumed duration of a request of a plain service until some
 	// were answered.
 	defaultLatency = 20 * time.Millisecond
-	// ewmaWeight is the weight of the latest answer in the moving averages.
-	ewmaWeight = 0.1
+	// smoothing is the weight of the latest answer in the moving averages.
+	smoothing = 0.1
 )
 
 // speed is the prefill speed that the engines of a pool have in common.
@@ -33,8 +33,8 @@
 	return s.prefill
 }
 
-// learn records the time from sending a prompt to its first event.
-func (s *speed) learn(tokens int, d time.Duration) {
+// observe records the time from sending a prompt to its first event.
+func (s *speed) observe(tokens int, d time.Duration) {
 	if tokens < minSpeedSample || d <= 0 {
 		return
 	}
@@ -56,11 +56,11 @@
 	at     time.Time
 }
 
-func (p *latency) learn(now time.Time, d time.Duration) {
+func (p *latency) observe(now time.Time, d time.Duration) {
 	if p.meanMs == 0 {
 		p.meanMs = milliseconds(d)
 	}
-	p.meanMs += ewmaWeight * (milliseconds(d) - p.meanMs)
+	p.meanMs += smoothing * (milliseconds(d) - p.meanMs)
 	p.at = now
 }
 
--- a/internal/core/entry/entry.go
+++ b/internal/core/entry/entry.go
@@ -128,7 +128,7 @@
 func (e *Entry) budget(pool string) *retry.Budget {
 	b, ok := e.budgets[pool]
 	if !ok {
-		b = retry.NewBudget(retry.DefaultShare, retry.DefaultReserve)
+		b = retry.NewBudget(retry.DefaultRatio, retry.DefaultReserve)
 		e.budgets[pool] = b
 	}
 	return b
--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -5,13 +5,13 @@
 //
 // # Usage
 //
-//	b := retry.NewBudget(retry.DefaultShare, retry.DefaultReserve)
+//	b := retry.NewBudget(retry.DefaultRatio, retry.DefaultReserve)
 //	b.Success()
 //	if b.Spend() {
 //		tryAgain()
 //	}
 //
-//	w := retry.NewWindow(share, reserve, 10*time.Second)
+//	w := retry.NewWindow(ratio, reserve, 10*time.Second)
 //	w.Request(now)
 //	if w.Spend(now) {
 //		tryAgain()
@@ -19,33 +19,33 @@
 package retry
 
 const (
-	// DefaultShare is the number of retries earned by one success.
-	DefaultShare = 0.1
+	// DefaultRatio is the number of retries earned by one success.
+	DefaultRatio = 0.1
 	// DefaultReserve is the maximum number of retries in reserve.
 	DefaultReserve = 10
 )
 
 // Budget counts the remaining retries. It is not safe for concurrent use.
 type Budget struct {
-	share   float64
+	ratio   float64
 	reserve float64
 	left    float64
 }
 
 // NewBudget returns a budget with a full reserve.
-func NewBudget(share, reserve float64) *Budget {
-	return &Budget{share: share, reserve: reserve, left: reserve}
+func NewBudget(ratio, reserve float64) *Budget {
+	return &Budget{ratio: ratio, reserve: reserve, left: reserve}
 }
 
 // With returns a budget with other bounds and the same remaining retries, capped at the new
 // reserve.
-func (b *Budget) With(share, reserve float64) *Budget {
-	return &Budget{share: share, reserve: reserve, left: min(b.left, reserve)}
+func (b *Budget) With(ratio, reserve float64) *Budget {
+	return &Budget{ratio: ratio, reserve: reserve, left: min(b.left, reserve)}
 }
 
-// Success adds the share of one success.
+// Success adds the retries earned by one success.
 func (b *Budget) Success() {
-	b.left = min(b.reserve, b.left+b.share)
+	b.left = min(b.reserve, b.left+b.ratio)
 }
 
 // Spend takes one retry, or returns false if none is left.
--- a/internal/core/retry/budget_test.go
+++ b/internal/core/retry/budget_test.go
@@ -21,7 +21,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			b := NewBudget(DefaultShare, DefaultReserve)
+			b := NewBudget(DefaultRatio, DefaultReserve)
 			const requests = 1000
 			attempts := 0
 			for range requests {
@@ -34,7 +34,7 @@
 					attempts++
 				}
 			}
-			is.True(float64(attempts) <= (1+DefaultShare)*requests+DefaultReserve)
+			is.True(float64(attempts) <= (1+DefaultRatio)*requests+DefaultReserve)
 		})
 	}
 }
--- a/internal/core/retry/window.go
+++ b/internal/core/retry/window.go
@@ -7,14 +7,14 @@
 const windowBuckets = 20
 
 // Window bounds retries by the requests of a sliding window: in no window are there more
-// retries than a share of its requests plus a reserve. A Budget accumulates at most its
+// retries than a fraction of its requests plus a reserve. A Budget accumulates at most its
 // reserve; a Window allows many retries after a crash that breaks many requests at once. It
 // is not safe for concurrent use.
 //
-// The reserve may be divided among several processes: as the share applies to each one's
+// The reserve may be divided among several processes: as the ratio applies to each one's
 // own requests, their sum keeps the total bound.
 type Window struct {
-	share   float64
+	ratio   float64
 	reserve float64
 	span    time.Duration
 	// buckets are indexed by their number since the Unix epoch.
@@ -28,13 +28,13 @@
 }
 
 // NewWindow returns an empty window of the given span.
-func NewWindow(share, reserve float64, span time.Duration) *Window {
-	return &Window{share: share, reserve: reserve, span: span, buckets: make(map[int64]*windowBucket)}
+func NewWindow(ratio, reserve float64, span time.Duration) *Window {
+	return &Window{ratio: ratio, reserve: reserve, span: span, buckets: make(map[int64]*windowBucket)}
 }
 
 // With returns a window with other bounds. The counts are kept if the span is the same.
-func (w *Window) With(share, reserve float64, span time.Duration) *Window {
-	next := NewWindow(share, reserve, span)
+func (w *Window) With(ratio, reserve float64, span time.Duration) *Window {
+	next := NewWindow(ratio, reserve, span)
 	if span == w.span {
 		next.buckets = w.buckets
 	}
@@ -47,7 +47,7 @@
 // Spend takes one retry, or returns false if none is allowed now.
 func (w *Window) Spend(now time.Time) bool {
 	requests, retries := w.count(now)
-	if float64(retries+1) > w.share*float64(requests)+w.reserve {
+	if float64(retries+1) > w.ratio*float64(requests)+w.reserve {
 		return false
 	}
 	w.bucket(now).retries++
--- a/internal/core/retry/window_test.go
+++ b/internal/core/retry/window_test.go
@@ -34,11 +34,11 @@
 	is.True(len(w.buckets) <= windowBuckets+1)
 }
 
-// For any pattern of failures, the retries of all gateways keep to the share plus the whole
+// For any pattern of failures, the retries of all gateways keep to the ratio plus the whole
 // reserve in every window, also when parts of the fleet have no contact with each other.
 func TestWindowsOfFleet(t *testing.T) {
 	const (
-		share   = 0.2
+		ratio   = 0.2
 		reserve = 60.0
 		span    = 10 * time.Second
 		step    = 20 * time.Millisecond
@@ -50,7 +50,7 @@
 			rng := rand.New(rand.NewPCG(uint64(gateways), 7))
 			fleet := make([]*Window, gateways)
 			for i := range fleet {
-				fleet[i] = NewWindow(share, reserve/float64(gateways), span)
+				fleet[i] = NewWindow(ratio, reserve/float64(gateways), span)
 			}
 			requests, retries := make([]int, steps), make([]int, steps)
 			failing := 0.0
@@ -76,7 +76,7 @@
 					sent += requests[s]
 					again += retries[s]
 				}
-				is.True(float64(again) <= share*float64(sent)+reserve)
+				is.True(float64(again) <= ratio*float64(sent)+reserve)
 				most = max(most, again)
 			}
 			t.Logf("at most %d retries in one window", most)
