--- a/internal/core/balance/gaps.go
+++ b/internal/core/balance/gaps.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// baseGapWindow is how long the shortest gaps of an engine are remembered, at most
+	// baseGapWindow is how long the shortest gaps of an engine are retained, at most
 	// twice as long. Even an engine with constant prefill has a break within this time.
 	baseGapWindow = time.Second
 	// minGapSamples is the minimum number of gaps for a useful sample.
@@ -56,8 +56,8 @@
 	at          time.Time
 }
 
-// learn records a typical gap.
-func (t *baseGap) learn(now time.Time, gap float64) {
+// observe records a typical gap.
+func (t *baseGap) observe(now time.Time, gap float64) {
 	if now.Sub(t.windowStart) > baseGapWindow {
 		t.previous, t.gap, t.windowStart = t.gap, 0, now
 		if now.Sub(t.at) > baseGapWindow {
--- a/internal/core/balance/health.go
+++ b/internal/core/balance/health.go
@@ -18,7 +18,7 @@
 	// could not be established.
 	unreachableBackoff = 700 * time.Millisecond
 	// goneTTL is how long an upstream is considered gone after nothing listened at its
-	// address or another incarnation answered there. By then its entry has lapsed, after
+	// address or another incarnation answered there. By then its entry has expired, after
 	// three heartbeats of about a second; otherwise it is tried again.
 	goneTTL = 5 * time.Second
 	// maxEjectedShare is the fraction of a pool's available upstreams that may be ejected
@@ -26,9 +26,9 @@
 	maxEjectedShare = 0.5
 )
 
-// noteRefusal skips the upstream for a while. Otherwise an upstream that refuses requests
+// recordRefusal skips the upstream for a while. Otherwise an upstream that refuses requests
 // looks idle and attracts those of its pool.
-func (t *Table) noteRefusal(now time.Time, u *upstream, r *run, reported *Load) {
+func (t *Table) recordRefusal(now time.Time, u *upstream, r *run, reported *Load) {
 	p := t.pool(u.Pool)
 	next, d := u.health.WithRefusal(now, reported.isFull() || p.refusalJustified(now, u, r))
 	u.health = next
--- a/internal/core/overload/overload.go
+++ b/internal/core/overload/overload.go
@@ -17,8 +17,8 @@
 // # Threshold
 //
 // A queue that a burst leaves and that drains again does no harm, and rejecting its
-// requests helps nobody. A standing queue makes everybody late for as long as it stands.
-// They are told apart by the mean wait of the requests in the last second: while it is
+// requests has no benefit. A standing queue delays all requests for as long as it stands.
+// They are distinguished by the mean wait of the requests in the last second: while it is
 // short, a request may wait for most of its target or all of it; once it is long, for a
 // small part only, until the queue has drained. A single limit for both cases was worse
 // for either.
@@ -35,7 +35,7 @@
 //	if retryAfter := queue.CheckAdmission(now, overload.AdmissionRequest{Target: target, Wait: wait}); retryAfter > 0 {
 //		refuse(retryAfter)
 //	}
-//	queue.Began(now, waited)
+//	queue.ResponseStarted(now, waited)
 package overload
 
 import (
@@ -96,8 +96,8 @@
 	// waiting; it is called only if it decides.
 	Wait    time.Duration
 	Pending func() time.Duration
-	// Completion is the expected time from now until its answer is complete, and Left how
-	// long its caller still waits; both are 0 if unknown.
+	// Completion is the expected time from now until its answer is complete, and TimeLeft
+	// how long its caller still waits; both are 0 if unknown.
 	Completion time.Duration
 	TimeLeft   time.Duration
 	// Organisation is the caller's organisation, Tokens the number of tokens that the
@@ -120,8 +120,9 @@
 	shares    shares
 }
 
-// Began records the time until the first event of a request of the least urgent tier.
-func (q *Queue) Began(now time.Time, waited time.Duration) {
+// ResponseStarted records the time until the first event of a request of the least urgent
+// tier.
+func (q *Queue) ResponseStarted(now time.Time, waited time.Duration) {
 	if q.ownWaitAt.IsZero() || now.Sub(q.ownWaitAt) > ownWaitRetention {
 		q.ownWait = waited
 	}
--- a/internal/core/suspect/fuzz_test.go
+++ b/internal/core/suspect/fuzz_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// FuzzHear feeds a registry with arbitrary messages of another gateway. The registry stays
-// within its bounds, and blocks nothing on the report of a single witness.
-func FuzzHear(f *testing.F) {
+// FuzzReceive feeds a registry with arbitrary messages of another gateway. The registry
+// stays within its bounds, and blocks nothing on the report of a single witness.
+func FuzzReceive(f *testing.F) {
 	f.Add([]byte{})
 	f.Add(binary.BigEndian.AppendUint64(make([]byte, 40), 1<<63))
 	f.Add([]byte("\x01\x00\x00\x00\x00\x00\x00\x00\x01\x01\x01\x00\x00\x00\x00\x00\x00\x00\x02\x01\x01\x00\x00\x00\x00\x00\x00\x00\x03\x01"))
@@ -26,12 +26,12 @@
 				Ran:     time.Duration(data[9]) * time.Hour,
 			}
 			position := Position{Epoch: uint64(data[0]), At: binary.BigEndian.Uint64(data[2:])}
-			r.Hear(now, "a", Message{Words: []Observation{w}, After: position, Upto: position, Heard: position}, 0)
+			r.Receive(now, "a", Message{Words: []Observation{w}, After: position, Upto: position, Heard: position}, 0)
 			now = now.Add(time.Second)
 			if r.Check(now, w.Print) == Blocked {
 				t.Fatal("blocked on the report of one witness")
 			}
-			if r.Known() > maxRecords || len(r.Tell("a", false).Words) > maxPerMessage {
+			if r.Known() > maxRecords || len(r.NextMessage("a", false).Words) > maxPerMessage {
 				t.Fatal("size limits exceeded")
 			}
 		}
--- a/internal/edge/gatewayd/stream.go
+++ b/internal/edge/gatewayd/stream.go
@@ -58,7 +58,7 @@
 			reportedAt = now
 			reported := gaps
 			gaps = balance.Gaps{}
-			x.server.control.DoWithoutCancel(func(now time.Time) { x.server.table.Heard(now, a.choice.ID, reported) })
+			x.server.control.DoWithoutCancel(func(now time.Time) { x.server.table.DataReceived(now, a.choice.ID, reported) })
 		}
 		x.commitStream(a)
 		if skipping && !e.follows(x.lastEventID) {
--- a/internal/edge/gatewayd/timeouts.go
+++ b/internal/edge/gatewayd/timeouts.go
@@ -104,7 +104,7 @@
 	if !x.progress.HasBackup {
 		return 0
 	}
-	return gapTimeoutFactor * x.admission.Route.PauseTarget
+	return gapTimeoutFactor * x.admission.Route.EventGapTarget
 }
 
 // answerStarted stops the timeout for the answer: the first event of a stream arrived, or the
--- a/internal/session/entryhost.go
+++ b/internal/session/entryhost.go
@@ -157,7 +157,7 @@
 func (h *entryHost) settleOffer(c *call, n int) {
 	if !c.settled[n] {
 		c.settled[n] = true
-		h.core.Settled(c.streams[n].agent.id)
+		h.core.OfferAnswered(c.streams[n].agent.id)
 	}
 }
 
@@ -166,7 +166,7 @@
 		return
 	}
 	h.settleOffer(x.call, x.attempt)
-	h.core.Heard(h.s.clock.now, x.agent.id, l)
+	h.core.RecordReport(h.s.clock.now, x.agent.id, l)
 }
 
 func (h *entryHost) granted(x *stream, incarnation string) {
--- a/internal/soak/crashes.go
+++ b/internal/soak/crashes.go
@@ -39,7 +39,7 @@
 // generator, so that the other faults of a seed stay the same.
 func (h *Harness) InjectCrashes(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 79)) //nolint:gosec // Seeded on purpose.
-	for n := 0; loop.Pause(ctx, randomBelow(rng, maxCrashPause)); n++ {
+	for n := 0; loop.Sleep(ctx, randomBelow(rng, maxCrashPause)); n++ {
 		if rng.IntN(4) == 0 {
 			h.overwriteEntry(rng)
 			continue
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -55,7 +55,7 @@
 func (h *Harness) Limits(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 81)) //nolint:gosec // Seeded on purpose.
 	end, _ := ctx.Deadline()
-	for loop.Pause(ctx, randomBelow(rng, maxLimitPause)) {
+	for loop.Sleep(ctx, randomBelow(rng, maxLimitPause)) {
 		h.setLimit(randomLimit(rng, time.Now()), rng.Uint64(), end)
 	}
 }
