--- a/internal/core/balance/load.go
+++ b/internal/core/balance/load.go
@@ -43,16 +43,16 @@
 	tokens int
 	// targetGap is the longest gap between events that the caller tolerates; 0 for any.
 	targetGap time.Duration
-	// lowestPriority marks a request of the lowest urgency in its pool.
-	lowestPriority bool
-	sentAt         time.Time
+	// leastUrgent marks a request of the lowest urgency in its pool.
+	leastUrgent bool
+	sentAt      time.Time
 	// deadline is when the caller gives up; zero for never.
 	deadline time.Time
 	// started is true after the first event, which arrived at startedAt.
 	started   bool
 	startedAt time.Time
-	// hung is true once it was counted as a hanging request.
-	hung bool
+	// countedHanging is true once it was counted as a hanging request.
+	countedHanging bool
 	// expected is the expected time to the first event at an engine of the pool's usual
 	// speed, in milliseconds.
 	expected float64
@@ -66,11 +66,11 @@
 	if !u.load.known {
 		return 0
 	}
-	trust := 1 - float64(now.Sub(u.load.at))/float64(loadTTL)
-	if trust <= 0 {
+	confidence := 1 - float64(now.Sub(u.load.at))/float64(loadTTL)
+	if confidence <= 0 {
 		return 0
 	}
-	return trust * float64(max(0, u.load.Running+u.load.Waiting-u.load.ownRunning))
+	return confidence * float64(max(0, u.load.Running+u.load.Waiting-u.load.ownRunning))
 }
 
 // inFlight estimates the number of requests at the upstream.
@@ -130,7 +130,7 @@
 	longest := time.Duration(0)
 	for _, u := range p.members {
 		for _, r := range u.running {
-			if r.lowestPriority && !r.started {
+			if r.leastUrgent && !r.started {
 				longest = max(longest, now.Sub(r.sentAt))
 			}
 		}
--- a/internal/core/suspect/registry.go
+++ b/internal/core/suspect/registry.go
@@ -10,12 +10,12 @@
 
 // Time and size limits of the registry.
 const (
-	// blockFor is how long a request stays blocked after its third crash. After that one
+	// minBlockTime is how long a request stays blocked after its third crash. After that one
 	// more run may show that it does no harm any more: upstreams get fixed, and a common
 	// request that was present at three crashes in a row by chance must not be refused for
-	// long. The time doubles with each further crash, up to blockMost.
-	blockFor  = time.Minute
-	blockMost = 10 * time.Minute
+	// long. The time doubles with each further crash, up to maxBlockTime.
+	minBlockTime = time.Minute
+	maxBlockTime = 10 * time.Minute
 	// retention is how long a request is kept after its last crash.
 	retention = 30 * time.Minute
 	// maxRecords bounds the requests that are kept, at about 300 bytes each. A crash of one
@@ -117,7 +117,7 @@
 
 // blockTime is how long a request is blocked after the last of n crashes.
 func blockTime(n int) time.Duration {
-	return min(blockFor<<(n-blockAt), blockMost)
+	return min(minBlockTime<<(n-blockAt), maxBlockTime)
 }
 
 // explained reports whether another request was present at all crashes of this one and at
@@ -157,8 +157,8 @@
 	}
 }
 
-// RecordCrash records that an upstream instance crashed while running the request, which
-// this gateway had sent there that long before.
+// RecordCrash records that an upstream incarnation crashed while running the request,
+// which this gateway had sent there that long before.
 func (r *Registry) RecordCrash(now time.Time, p Print, start uint64, ran time.Duration) {
 	o := Observation{Print: p, Start: start, Witness: r.self, At: now, Ran: ran}
 	if rec, ok := r.records[p]; ok {
@@ -203,7 +203,7 @@
 			return true
 		}
 	}
-	if o.clears() || !rec.add(crash{start: o.Start, witness: o.Witness, at: o.At, ran: o.Ran}, r.self) {
+	if o.clears() || !rec.add(crash{incarnation: o.Start, witness: o.Witness, at: o.At, ran: o.Ran}, r.self) {
 		return false
 	}
 	r.log.add(o)
@@ -219,14 +219,14 @@
 	if len(r.records) < maxRecords {
 		return
 	}
-	var least Print
+	var lowest Print
 	var worst *record
 	for p, rec := range r.records {
 		if worst == nil || compareForEviction(rec, worst) < 0 {
-			least, worst = p, rec
+			lowest, worst = p, rec
 		}
 	}
-	delete(r.records, least)
+	delete(r.records, lowest)
 }
 
 // Sweep drops the requests without a crash during the retention time.
--- a/internal/edge/gatewayd/attempt.go
+++ b/internal/edge/gatewayd/attempt.go
@@ -61,7 +61,7 @@
 		return true
 	}
 	now := x.server.now()
-	return !closed.Has(now, choice.Start()) && (choice.Turn || !closed.Limited(now, choice.Start()))
+	return !closed.Has(now, choice.IncarnationKey()) && (choice.Turn || !closed.Limited(now, choice.IncarnationKey()))
 }
 
 // releaseChoice reverts a choice to which nothing was sent.
@@ -110,7 +110,7 @@
 	x.timeouts.answerStarted()
 	x.loadRecorded = true
 	x.server.control.DoWithoutCancel(func(now time.Time) {
-		x.server.table.Began(now, a.choice)
+		x.server.table.ResponseStarted(now, a.choice)
 		if a.head.Load != nil {
 			x.server.table.SetLoad(now, a.choice.ID, *a.head.Load)
 		}
--- a/internal/edge/gatewayd/notice.go
+++ b/internal/edge/gatewayd/notice.go
@@ -29,7 +29,7 @@
 func (x *request) handleNotice(choice balance.Choice, r *http.Response) {
 	n := platform.DecodeNotice(r.StatusCode, r.Header)
 	s := x.server
-	if !n.Any() && !(*s.closed.Load()).LimitReported(choice.Start()) {
+	if !n.Any() && !(*s.closed.Load()).LimitReported(choice.IncarnationKey()) {
 		return
 	}
 	if r.StatusCode >= http.StatusOK && x.owns(r) {
@@ -48,24 +48,24 @@
 	line := func(kind string) *zerolog.Event {
 		s.metrics.notices.WithLabelValues(kind).Inc()
 		return x.log().
-			Str("upstream", result.Of.ID).Uint64("start", result.Of.Start()).Bool("listed", result.Listed).
+			Str("upstream", result.Sender.ID).Uint64("start", result.Sender.IncarnationKey()).Bool("listed", result.Listed).
 			Str("address", choice.Address).Int("status", r.StatusCode)
 	}
-	if result.Of.ID == "" && n.Any() {
-		line(noticeUnknownStart).Str("sent_to", choice.ID).Str("named", n.Of).Msg("notice from an incarnation that is not listed")
+	if result.Sender.ID == "" && n.Any() {
+		line(noticeUnknownStart).Str("sent_to", choice.ID).Str("named", n.Sender).Msg("notice from an incarnation that is not listed")
 	}
 	if result.NewlyLeaving {
 		line(noticeLeaving).Msg("upstream announced that it is leaving")
 	}
 	if result.BackoffExtended {
 		backoff := result.State.BackoffUntil().Sub(s.now())
-		line(noticeBackoff).Dur("asked", n.Rest).Dur("rest", backoff).Msg("upstream requested a backoff")
+		line(noticeBackoff).Dur("asked", n.Backoff).Dur("rest", backoff).Msg("upstream requested a backoff")
 	}
 	if result.LimitChanged {
 		limit := result.State.Announced()
 		line(noticeLimit).Bool("limited", limit.Announced).Float64("per_second", limit.PerSecond).Msg("upstream changes its limit")
 	}
-	if result.NewlyUnreadable {
+	if result.NewlyUnparsed {
 		text := n.Unparsed[:min(len(n.Unparsed), maxLoggedText)]
 		line(noticeUnparsed).Str("text", text).Msg("upstream sent a notice that cannot be parsed")
 	}
--- a/internal/edge/gatewayd/respond.go
+++ b/internal/edge/gatewayd/respond.go
@@ -55,7 +55,7 @@
 	if limited {
 		return refusal.WithLimit(delay)
 	}
-	return refusal.WithRest(delay)
+	return refusal.WithBackoff(delay)
 }
 
 // refuse responds with a refusal of the gateway itself.
--- a/internal/soak/evacuations.go
+++ b/internal/soak/evacuations.go
@@ -35,11 +35,11 @@
 func (h *Harness) Evacuate(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 78)) //nolint:gosec // Seeded on purpose.
 	for ctx.Err() == nil {
-		loop.Pause(ctx, randomBelow(rng, maxEvacuationPause))
+		loop.Sleep(ctx, randomBelow(rng, maxEvacuationPause))
 		zone := zoneOf(rng.IntN(zoneCount))
 		h.store.Evacuate(zone)
 		at := time.Now()
-		loop.Pause(ctx, minEvacuation+randomBelow(rng, maxEvacuation-minEvacuation))
+		loop.Sleep(ctx, minEvacuation+randomBelow(rng, maxEvacuation-minEvacuation))
 		until := time.Now()
 		h.store.EndEvacuation(zone)
 		h.record.addEvacuation(Evacuation{Zone: zone, At: at, Until: until})
--- a/internal/soak/false_reports.go
+++ b/internal/soak/false_reports.go
@@ -33,7 +33,7 @@
 	client := &http.Client{Timeout: falseReportTimeout}
 	defer client.CloseIdleConnections()
 	self := &gladegaugev1.GatewayMember{Address: fakeGatewayAddress, Zone: zoneOf(0), Start: 1}
-	for loop.Pause(ctx, falseReportInterval) {
+	for loop.Sleep(ctx, falseReportInterval) {
 		self.Beat++
 		heartbeat := &gladegaugev1.GatewayExchangeRequest{Members: []*gladegaugev1.GatewayMember{self}, Known: gatewayCount}
 		report := &gladegaugev1.TellLoadsRequest{Gateway: fakeGatewayAddress, Loads: h.falseReports()}
@@ -52,7 +52,7 @@
 	defer h.mu.Unlock()
 	var list []*gladegaugev1.UpstreamLoad
 	for _, r := range h.replicas {
-		start := balance.Instance{ID: r.ID, Born: r.Born}.Start()
+		start := balance.Instance{ID: r.ID, Born: r.Born}.IncarnationKey()
 		list = append(list, &gladegaugev1.UpstreamLoad{Upstream: start, Gone: claimedWitnesses, Closed: claimedWitnesses, Failing: claimedWitnesses, Limited: claimedWitnesses, LimitLog: -claimedWitnesses})
 	}
 	return list
--- a/internal/soak/notices.go
+++ b/internal/soak/notices.go
@@ -46,7 +46,7 @@
 // that the other faults of a seed stay the same.
 func (h *Harness) InjectNotices(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 80)) //nolint:gosec // Seeded on purpose.
-	for loop.Pause(ctx, randomBelow(rng, maxNoticePause)) {
+	for loop.Sleep(ctx, randomBelow(rng, maxNoticePause)) {
 		if rng.IntN(3) == 0 {
 			h.announceShutdown(rng)
 		} else {
--- a/internal/soak/restores.go
+++ b/internal/soak/restores.go
@@ -29,9 +29,9 @@
 // has its own random number generator, so that the other faults of a seed stay the same.
 func (h *Harness) InjectRestores(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 82)) //nolint:gosec // Seeded on purpose.
-	for loop.Pause(ctx, randomBelow(rng, maxBackupPause)) {
+	for loop.Sleep(ctx, randomBelow(rng, maxBackupPause)) {
 		h.store.Backup()
-		if !loop.Pause(ctx, randomBelow(rng, maxBackupAge)) {
+		if !loop.Sleep(ctx, randomBelow(rng, maxBackupAge)) {
 			return
 		}
 		h.recordDuring("store restored from a backup", everyGateway, func() { h.restore(rng) })
