--- a/internal/core/balance/backup.go
+++ b/internal/core/balance/backup.go
@@ -49,8 +49,8 @@
 }
 
 // Continue counts the request at the engine that keeps its backup, where no prefill is
-// needed. It returns false if that engine is gone, leaving, backing off, ejected, cold,
-// without a turn or in an evacuated availability zone.
+// needed. It returns false if that engine is gone, leaving, backing off, ejected or in an
+// evacuated availability zone, or if this gateway may not send it a request (maySend).
 func (t *Table) Continue(now time.Time, r Request, b Backup) (Choice, bool) {
 	u, ok := t.upstreams[b.ID]
 	if !ok || !u.present(now) || u.gone(now) || u.peersFoundGone(now) || u.ejected(now) {
--- a/internal/core/balance/balance_test.go
+++ b/internal/core/balance/balance_test.go
@@ -29,8 +29,8 @@
 func enginesWith(t *testing.T, n int) *Table {
 	t.Helper()
 	table := tableWith(n)
-	route := func(name string, pause time.Duration) *ingress.Route {
-		return &ingress.Route{Name: name, Prefix: "/" + name + "/", Kind: ingress.Stream, EventGapTarget: pause, Timeout: time.Second, MaxAttempts: 1, Shares: []ingress.Share{{Pool: "p", Weight: 1}}}
+	route := func(name string, gapTarget time.Duration) *ingress.Route {
+		return &ingress.Route{Name: name, Prefix: "/" + name + "/", Kind: ingress.Stream, EventGapTarget: gapTarget, Timeout: time.Second, MaxAttempts: 1, Shares: []ingress.Share{{Pool: "p", Weight: 1}}}
 	}
 	routes := []*ingress.Route{route("chat", 250*time.Millisecond), route("long", time.Second)}
 	cfg, faults := ingress.New(1, routes, []ingress.Pool{{Name: "p", Engine: &ingress.Engine{Slots: 8, MemoryTokens: 100_000, EventTokens: 5}}}, nil, ingress.Limits{})
--- a/internal/core/balance/cache.go
+++ b/internal/core/balance/cache.go
@@ -75,7 +75,7 @@
 }
 
 // record notes that the engine has prefilled the prompt, or that the prompt is on its way
-// there. It returns the shared parts whose state changed, without their engine.
+// there. It returns the shared parts whose state changed, with Upstream unset.
 func (c *cache) record(now time.Time, p Prompt, keys []uint64, read bool) []occupancy.Part {
 	var added []occupancy.Part
 	shared := len(p.shared())
@@ -88,7 +88,7 @@
 	return added
 }
 
-// put records a part and reports whether it was unknown, not yet read, or unused for
+// put records a part and reports whether it was unknown, is newly read, or was unused for
 // long.
 func (c *cache) put(now time.Time, key uint64, tokens int, read bool) bool {
 	known, ok := c.parts[key]
--- a/internal/core/balance/cost.go
+++ b/internal/core/balance/cost.go
@@ -28,8 +28,8 @@
 	silenceThreshold = 400 * time.Millisecond
 	// silenceWeight is the cost of each millisecond of silence above the threshold.
 	silenceWeight = 2.0
-	// overdueWeight is the cost of each millisecond by which the prompts at an engine are
-	// overdue.
+	// overdueWeight is the cost of each millisecond by which the overdue prompts at an
+	// engine are late on average.
 	overdueWeight = 1.0
 )
 
--- a/internal/core/balance/doc.go
+++ b/internal/core/balance/doc.go
@@ -39,7 +39,7 @@
 //	if c.RetryAfter > 0 {
 //		refuse(c.RetryAfter)
 //	}
-//	// c.FetchFrom and c.Backup name the engines of its copies
+//	// c.FetchFrom and c.Backup name the engines that its KV cache is copied from and to
 //	t.ResponseStarted(now, c) // the response head or the first event arrived
-//	t.Ended(now, c, balance.Completed, tokens)
+//	t.Ended(now, c, balance.Completed, balance.Answer{Tokens: tokens})
 package balance
--- a/internal/core/balance/gap_risk_test.go
+++ b/internal/core/balance/gap_risk_test.go
@@ -12,7 +12,7 @@
 // Tight streams avoid an engine whose tight streams had long gaps at any gateway, in
 // favour of one that meets the target; other streams do not.
 func TestGapMissRisk(t *testing.T) {
-	pause := 250 * time.Millisecond
+	gapTarget := 250 * time.Millisecond
 	tests := []struct {
 		name     string
 		longest  []time.Duration
@@ -38,10 +38,10 @@
 				is.True(ok)
 				table.Ended(at(i), c, Completed, Answer{Tokens: 100, LongestGap: d})
 			}
-			risk := u.gapMissRisk(at(10), pause)
+			risk := u.gapMissRisk(at(10), gapTarget)
 			is.True(risk >= tt.min && risk <= tt.max)
 			is.Equal(u.gapMissRisk(at(10), 0), 0.0) // no gap target
-			is.Equal(u.gapMissRisk(at(10).Add(sampleTTL+time.Second), pause), 0.0)
+			is.Equal(u.gapMissRisk(at(10).Add(sampleTTL+time.Second), gapTarget), 0.0)
 		})
 	}
 }
--- a/internal/core/balance/gap_targets.go
+++ b/internal/core/balance/gap_targets.go
@@ -39,9 +39,9 @@
 	}
 	p.tightLimit = tightLimit
 	p.tier = list[0].Tier
-	for _, pause := range list {
-		if p.isTight(pause.Target) {
-			p.tier = min(p.tier, pause.Tier)
+	for _, gapTarget := range list {
+		if p.isTight(gapTarget.Target) {
+			p.tier = min(p.tier, gapTarget.Tier)
 		}
 	}
 }
--- a/internal/core/balance/gone.go
+++ b/internal/core/balance/gone.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// IsGone reports whether the gateway itself found that this incarnation of the upstream
-// has ended.
+// IsGone reports whether this incarnation of the upstream has ended, by the list or by
+// this gateway's own observation.
 func (t *Table) IsGone(now time.Time, in Instance) bool {
 	u, ok := t.upstreams[in.ID]
 	return ok && u.incarnation == in.IncarnationKey() && u.gone(now)
@@ -52,7 +52,7 @@
 }
 
 // peersFoundClosed reports whether the upstream announced to enough other gateways that it
-// leaves or needs a backoff, and it has sent nothing to this one since.
+// leaves or asked them to back off, and it has sent nothing to this one since.
 func (u *upstream) peersFoundClosed(now time.Time) bool {
 	return u.peerLoad.Closed >= goneQuorum && u.hasPeerLoad(now) && now.Sub(u.lastReceivedAt) > peerGoneGrace && !u.notices.Restricted(now)
 }
--- a/internal/core/balance/notices.go
+++ b/internal/core/balance/notices.go
@@ -35,16 +35,16 @@
 
 // Notice processes a notice in the answer to a request that was sent to the upstream.
 func (t *Table) Notice(now time.Time, to Instance, n notice.Notice) NoticeResult {
-	of, ok := t.responder(to, n)
+	sender, ok := t.responder(to, n)
 	if !ok {
 		return NoticeResult{}
 	}
-	u, listed := t.upstreams[of.ID]
-	if !listed || u.RestartedAs(of) {
-		before := t.unlisted.Get(now, of.IncarnationKey())
+	u, listed := t.upstreams[sender.ID]
+	if !listed || u.RestartedAs(sender) {
+		before := t.unlisted.Get(now, sender.IncarnationKey())
 		after := before.With(now, n)
-		t.unlisted.Put(now, of.IncarnationKey(), after)
-		return noticeResultOf(of, false, before, after)
+		t.unlisted.Put(now, sender.IncarnationKey(), after)
+		return noticeResultOf(sender, false, before, after)
 	}
 	before := u.notices
 	u.notices = before.With(now, n)
@@ -53,9 +53,9 @@
 	return noticeResultOf(u.Instance, true, before, u.notices)
 }
 
-func noticeResultOf(of Instance, listed bool, before, after notice.State) NoticeResult {
+func noticeResultOf(sender Instance, listed bool, before, after notice.State) NoticeResult {
 	return NoticeResult{
-		Sender:          of,
+		Sender:          sender,
 		Listed:          listed,
 		State:           after,
 		NewlyLeaving:    after.Leaving() && !before.Leaving(),
--- a/internal/core/balance/parts.go
+++ b/internal/core/balance/parts.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// TakeNewParts returns the parts that have not been announced to other gateways yet, and clears
-// them.
+// TakeNewParts returns the parts that have not been announced to other gateways yet, and
+// clears them.
 func (t *Table) TakeNewParts() []occupancy.Part {
 	newParts := t.newParts
 	t.newParts = nil
@@ -30,12 +30,12 @@
 	if len(parts) == 0 {
 		return
 	}
-	byStart := make(map[uint64]*upstream, len(t.upstreams))
+	byIncarnation := make(map[uint64]*upstream, len(t.upstreams))
 	for _, u := range t.upstreams {
-		byStart[u.incarnation] = u
+		byIncarnation[u.incarnation] = u
 	}
 	for _, p := range parts {
-		if u, ok := byStart[p.Upstream]; ok {
+		if u, ok := byIncarnation[p.Upstream]; ok {
 			u.cache.put(now, p.Key, p.Tokens, p.Read)
 			u.cache.evictExcess()
 		}
--- a/internal/core/balance/peers.go
+++ b/internal/core/balance/peers.go
@@ -29,15 +29,17 @@
 	Outvoted []Outvoted
 	// Hanging lists those at which a prompt of this gateway newly counts as hanging.
 	Hanging []Hanging
-	// Limited lists those whose rate limit changed by reports of other gateways. While
-	// the reports differ, each upstream is listed at most once per limitReportInterval.
+	// Limited lists those whose rate limit changed because of reports of other gateways.
+	// While the reports differ, each upstream is listed at most once per
+	// limitReportInterval.
 	Limited []Limited
 	// LimitsReported is true if a rate limit of any upstream is or was reported. Such
 	// reports are valid only for a moment, so the state must be published again.
 	LimitsReported bool
 }
 
-// limitReportInterval is the minimum time between two reports of a fluctuating limit.
+// limitReportInterval is the minimum time between two reports of a fluctuating limit to
+// the caller of SetPeerLoads.
 const limitReportInterval = time.Second
 
 // Limited is an upstream whose rate limit changed, and the votes on it.
@@ -53,12 +55,12 @@
 	var d PeerChanges
 	t.peersAt, t.peersAge, t.gateways = now, p.Age, max(p.Gateways, 1)
 	reportedAt, until := now.Add(-p.Age), now.Add(p.TTL)
-	for _, of := range t.pools {
-		for _, u := range of.members {
+	for _, pool := range t.pools {
+		for _, u := range pool.members {
 			u.peerLoad, u.peerLoadAt, u.peerLoadUntil = p.Loads[u.incarnation], reportedAt, until
 			t.applyLimitVotes(now, u, &d)
 			if len(u.running) > 0 {
-				d.Hanging = append(d.Hanging, of.recordHanging(now, u)...)
+				d.Hanging = append(d.Hanging, pool.recordHanging(now, u)...)
 			}
 			if o, ok := u.applyVotes(now); ok {
 				d.Outvoted = append(d.Outvoted, o)
@@ -76,11 +78,11 @@
 	votes := notice.LimitVotes{Limited: u.peerLoad.Limited, PerSecond: u.peerLoad.Limit(), Free: u.peerLoad.Free}
 	u.notices = u.notices.WithLimitVotes(votes, u.peerLoadUntil)
 	d.LimitsReported = true
-	named := u.limit.Announced
+	wasAnnounced := u.limit.Announced
 	if !t.applyLimit(now, u, initialTurns) {
 		return
 	}
-	if named != u.limit.Announced || now.Sub(u.limitReportedAt) >= limitReportInterval {
+	if wasAnnounced != u.limit.Announced || now.Sub(u.limitReportedAt) >= limitReportInterval {
 		u.limitReportedAt = now
 		d.Limited = append(d.Limited, Limited{ID: u.ID, Limit: u.limit.Limit, Votes: votes})
 	}
--- a/internal/core/balance/pick.go
+++ b/internal/core/balance/pick.go
@@ -139,7 +139,7 @@
 	if !r.Least || r.Prompt.Tokens == 0 || len(r.Exclude) > 0 {
 		return 0
 	}
-	ask := overload.AdmissionRequest{
+	request := overload.AdmissionRequest{
 		Target:       r.Target,
 		Wait:         duration(c.Wait),
 		Pending:      func() time.Duration { return p.longestPending(now) },
@@ -148,10 +148,10 @@
 		Hash:         r.Hash,
 	}
 	if !r.Deadline.IsZero() {
-		ask.TimeLeft = r.Deadline.Sub(now)
-		ask.Completion = duration(c.Wait + p.answerMs(now, u, r, c))
+		request.TimeLeft = r.Deadline.Sub(now)
+		request.Completion = duration(c.Wait + p.answerMs(now, u, r, c))
 	}
-	return p.queue.CheckAdmission(now, ask)
+	return p.queue.CheckAdmission(now, request)
 }
 
 // answerMs is the expected time from the start of prefill to the end of the answer, at
--- a/internal/core/balance/replay_backoff_test.go
+++ b/internal/core/balance/replay_backoff_test.go
@@ -82,7 +82,7 @@
 func steadyClasses(scale float64) []replayClass {
 	classes := burstyClasses(1.35 * scale)
 	for i := range classes {
-		classes[i].burst, classes[i].more = 1, nil
+		classes[i].burst, classes[i].moreBursts = 1, nil
 	}
 	return classes
 }
--- a/internal/core/balance/replay_engine_test.go
+++ b/internal/core/balance/replay_engine_test.go
@@ -94,7 +94,7 @@
 	if e.r.admitsByMemory {
 		e.waiting = append(e.waiting, run)
 		slices.SortStableFunc(e.waiting, func(a, b *replayRun) int { return cmp.Compare(a.class.tier, b.class.tier) })
-		e.r.after(milliseconds(run.class.patient-e.r.now.Sub(run.arrivedAt)), func() { e.abandon(run) })
+		e.r.after(milliseconds(run.class.timeout-e.r.now.Sub(run.arrivedAt)), func() { e.abandon(run) })
 		e.admit()
 		e.step()
 		return
--- a/internal/core/balance/replay_fault_test.go
+++ b/internal/core/balance/replay_fault_test.go
@@ -60,7 +60,7 @@
 func (e *replayEngine) applyFault(q *replayRequest, c Choice) {
 	r, table := e.r, q.gateway.table
 	if e.fault.kind == hangs {
-		r.after(milliseconds(min(hangTimeout, q.class.patient)), func() {
+		r.after(milliseconds(min(hangTimeout, q.class.timeout)), func() {
 			table.Ended(r.now, c, Abandoned, Answer{})
 			r.count(q.class, abandonedResult)
 		})
@@ -120,9 +120,9 @@
 	r.injectFaults(f)
 	r.run((f.length + f.recovery).Seconds() + 5)
 	r.report(t)
-	hit, most, idle, perS := 0, 0, 0, 0.0
+	hit, most, idle, perSecond := 0, 0, 0, 0.0
 	for _, c := range r.classes {
-		perS += c.perS
+		perSecond += c.perSecond
 	}
 	for _, e := range r.order {
 		hit += e.fault.hit
@@ -131,7 +131,7 @@
 			idle++
 		}
 	}
-	share := float64(hit) / (faultProbability * perS * f.length.Seconds() * engines / 3)
+	share := float64(hit) / (faultProbability * perSecond * f.length.Seconds() * engines / 3)
 	t.Logf("affected %d requests, %.3f of an even spread, at most %d at one engine; %d engines without their share after the recovery time", hit, share, most, idle)
 	is.True(share <= f.hit)
 	is.True(r.share("chat", inTime) >= f.chat)
@@ -142,7 +142,7 @@
 // detects this only by itself, an engine that refuses looks idle and attracts the
 // requests of its pool. With votes, few requests are affected, the load moves to the
 // other engines, and each engine has its share again seven seconds after the fault: at
-// most four seconds because of votes, plus the probe requests.
+// most four seconds because of votes, plus the trial requests.
 //
 // The comment on each case gives what was reached without votes: affected requests
 // relative to an even spread, and the share of chats in time.
@@ -177,7 +177,7 @@
 //
 // Each engine has its share again eleven seconds after the fault: one second until a
 // hanging request counts, four seconds because of votes, five until a request of any kind
-// serves as the probe, and the time of the report.
+// serves as the trial, and the time of the report.
 //
 // The comment on each case gives what was reached without hang detection: affected
 // requests relative to an even spread, and the share of chats in time.
@@ -238,7 +238,7 @@
 	}
 }
 
-// Votes deprioritise an upstream, for longer each time, but never more than half of a
+// Votes demote an upstream, for longer each time, but never more than half of a
 // pool; an answer to any gateway ends it.
 func TestVotes(t *testing.T) {
 	vote := func(failing, served int) occupancy.Load { return occupancy.Load{Failing: failing, Served: served} }
@@ -277,11 +277,11 @@
 			report(t0, tt.votes)
 			is.Equal(used(at(1)), tt.used)
 			report(at(500), [4]occupancy.Load{})
-			is.Equal(used(at(501)), tt.used) // still deprioritised
+			is.Equal(used(at(501)), tt.used) // still demoted
 			report(at(1100), [4]occupancy.Load{})
-			is.Equal(used(at(1101)), tt.used) // other gateways are probing
+			is.Equal(used(at(1101)), tt.used) // other gateways run the trial
 			report(at(1300), [4]occupancy.Load{vote(0, 1), vote(0, 1), vote(0, 1), vote(0, 1)})
-			is.Equal(used(at(1301)), 4) // a probe was answered
+			is.Equal(used(at(1301)), 4) // a trial request was answered
 		})
 	}
 }
--- a/internal/core/balance/replay_limit_test.go
+++ b/internal/core/balance/replay_limit_test.go
@@ -56,31 +56,31 @@
 
 // borrow asks holders for a turn, one after the other, for a request without an engine.
 func (r *replay) borrow(q *replayRequest) {
-	ask := Request{Pool: "p", Route: q.class.name, TargetGap: q.class.pauseLimit(), Tier: q.class.tier, Target: q.class.target,
+	request := Request{Pool: "p", Route: q.class.name, TargetGap: q.class.gapLimit(), Tier: q.class.tier, Target: q.class.target,
 		Prompt: q.prompt, Exclude: q.tried, Hash: r.rng.Uint64(), Least: q.class.tier == 2}
-	r.borrowFrom(q, ask, q.gateway.table.Borrowable(r.now, ask))
+	r.borrowFrom(q, request, q.gateway.table.Borrowable(r.now, request))
 }
 
-// borrowFrom asks a holder of the first of the loans.
-func (r *replay) borrowFrom(q *replayRequest, ask Request, loans []BorrowCandidate) {
-	if len(loans) == 0 {
+// borrowFrom asks a holder of the first candidate for a turn.
+func (r *replay) borrowFrom(q *replayRequest, request Request, candidates []BorrowCandidate) {
+	if len(candidates) == 0 {
 		r.rejectedInBackoff(q)
 		return
 	}
-	l := loans[0]
+	l := candidates[0]
 	n := uint64(len(r.gateways))
 	// The holders are the gateways for which (index + key) modulo n is below the number
 	// of holders.
 	holder := r.gateways[(n-l.Key%n+uint64(r.rng.IntN(min(l.Holders, int(n)))))%n]
 	r.after(borrowMs, func() {
-		wait, ok := holder.table.Lend(r.now, l.IncarnationKey(), ask.Least)
+		wait, ok := holder.table.Lend(r.now, l.IncarnationKey(), request.Least)
 		if !ok {
 			q.gateway.table.BorrowRefused(r.now, l.Instance, wait)
-			r.borrowFrom(q, ask, loans[1:])
+			r.borrowFrom(q, request, candidates[1:])
 			return
 		}
 		r.lent++
-		if c, ok := q.gateway.table.PickBorrowed(r.now, ask, l.Instance); ok {
+		if c, ok := q.gateway.table.PickBorrowed(r.now, request, l.Instance); ok {
 			r.sendTo(q, c)
 			return
 		}
--- a/internal/core/balance/replay_overload_test.go
+++ b/internal/core/balance/replay_overload_test.go
@@ -15,11 +15,11 @@
 // other.
 func burstyClasses(scale float64) []replayClass {
 	return []replayClass{
-		{name: "check", tier: 2, target: 1500 * time.Millisecond, perS: 3.4 * scale, shared: []replayPart{{2520, 4}, {3780, 628}}, own: 2890, output: 52, spread: 1.1, patient: 4 * time.Second,
-			burst: 2.76, burstAt: 0.5, burstFor: 9, more: []replayBurst{{2.4, 16, 2}}},
-		{name: "note", tier: 1, target: 500 * time.Millisecond, pause: 600 * time.Millisecond, perS: 2.3 * scale, shared: []replayPart{{341, 40}, {227, 877}}, own: 1800, output: 23, spread: 1.1, patient: 3 * time.Second,
+		{name: "check", tier: 2, target: 1500 * time.Millisecond, perSecond: 3.4 * scale, shared: []replayPart{{2520, 4}, {3780, 628}}, own: 2890, output: 52, spread: 1.1, timeout: 4 * time.Second,
+			burst: 2.76, burstAt: 0.5, burstFor: 9, moreBursts: []replayBurst{{2.4, 16, 2}}},
+		{name: "note", tier: 1, target: 500 * time.Millisecond, gapTarget: 600 * time.Millisecond, perSecond: 2.3 * scale, shared: []replayPart{{341, 40}, {227, 877}}, own: 1800, output: 23, spread: 1.1, timeout: 3 * time.Second,
 			burst: 2.4, burstAt: 9, burstFor: 9},
-		{name: "chat", tier: 0, target: 300 * time.Millisecond, pause: 400 * time.Millisecond, perS: 1.0 * scale, shared: []replayPart{{103, 40}, {69, 295}}, own: 543, output: 280, spread: 0.7, patient: 10 * time.Second,
+		{name: "chat", tier: 0, target: 300 * time.Millisecond, gapTarget: 400 * time.Millisecond, perSecond: 1.0 * scale, shared: []replayPart{{103, 40}, {69, 295}}, own: 543, output: 280, spread: 0.7, timeout: 10 * time.Second,
 			burst: 2.44, burstAt: 11, burstFor: 5},
 	}
 }
--- a/internal/core/balance/replay_service_test.go
+++ b/internal/core/balance/replay_service_test.go
@@ -26,7 +26,7 @@
 // lateService simulates requests to a plain service at so many gateways, with reports
 // sent at the interval and received after the delay, and returns the share that is
 // answered late.
-func lateService(gateways, replicas int, perS float64, reportInterval, reportDelay time.Duration) float64 {
+func lateService(gateways, replicas int, perSecond float64, reportInterval, reportDelay time.Duration) float64 {
 	r := newReplay(gateways, replicas, reportInterval, reportDelay, nil)
 	nodes := make(map[string]*replayReplica)
 	for _, in := range r.listed {
@@ -71,7 +71,7 @@
 			node.queue = append(node.queue, run)
 		}
 		if r.now.Before(r.end) {
-			r.after(r.rng.ExpFloat64()/perS*1000, arrive)
+			r.after(r.rng.ExpFloat64()/perSecond*1000, arrive)
 		}
 	}
 	arrive()
@@ -85,7 +85,7 @@
 	tests := []struct {
 		name                        string
 		gateways, replicas          int
-		perS                        float64
+		perSecond                   float64
 		reportInterval, reportDelay time.Duration
 		late                        float64
 	}{
@@ -98,7 +98,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			late := lateService(tt.gateways, tt.replicas, tt.perS, tt.reportInterval, tt.reportDelay)
+			late := lateService(tt.gateways, tt.replicas, tt.perSecond, tt.reportInterval, tt.reportDelay)
 			t.Logf("late %.3f", late)
 			is.New(t).True(late <= tt.late)
 		})
--- a/internal/core/balance/replay_simulation_test.go
+++ b/internal/core/balance/replay_simulation_test.go
@@ -18,7 +18,7 @@
 const (
 	inTime replayResult = iota
 	lateResult
-	pausedResult
+	gapMissedResult
 	failedResult
 	refusedResult
 	abandonedResult
@@ -72,7 +72,7 @@
 	admitsByMemory bool
 	// eventTokens is the number of tokens per stream event.
 	eventTokens int
-	// outvoted and hanging are how often gateways deprioritised an engine by votes, and
+	// outvoted and hanging are how often votes demoted an engine at a gateway, and
 	// considered a prompt to hang.
 	outvoted, hanging int
 	// abandonedTokens is the number of tokens prefilled for answers that were abandoned.
@@ -119,7 +119,7 @@
 	var routes []*ingress.Route
 	for i := range classes {
 		c := &classes[i]
-		routes = append(routes, &ingress.Route{Name: c.name, Prefix: "/" + c.name + "/", Kind: ingress.Stream, Tier: c.tier, Target: c.target, EventGapTarget: c.pauseLimit(), Timeout: c.patient, MaxAttempts: 1, Shares: []ingress.Share{{Pool: "p", Weight: 1}}})
+		routes = append(routes, &ingress.Route{Name: c.name, Prefix: "/" + c.name + "/", Kind: ingress.Stream, Tier: c.tier, Target: c.target, EventGapTarget: c.gapLimit(), Timeout: c.timeout, MaxAttempts: 1, Shares: []ingress.Share{{Pool: "p", Weight: 1}}})
 	}
 	engine := &ingress.Engine{Slots: replaySlots, MemoryTokens: replayMemory, EventTokens: eventTokens, Moves: true, LinkMbps: 550_000, TokenBytes: 18_432}
 	cfg, faults := ingress.New(1, routes, []ingress.Pool{{Name: "p", Engine: engine}}, nil, ingress.Limits{})
@@ -150,13 +150,13 @@
 // scheduleNext schedules the next request of a class.
 func (r *replay) scheduleNext(c *replayClass) {
 	since := r.now.Sub(t0).Seconds()
-	rate := c.perS * float64(len(r.order))
+	rate := c.perSecond * float64(len(r.order))
 	if since >= c.burstAt && since < c.burstAt+c.burstFor {
 		rate *= c.burst
 	}
-	for _, b := range c.more {
+	for _, b := range c.moreBursts {
 		if since >= b.at && since < b.at+b.length {
-			rate *= b.times
+			rate *= b.factor
 		}
 	}
 	r.after(r.rng.ExpFloat64()/rate*1000, func() {
@@ -176,7 +176,7 @@
 		q.prompt.OutputHint = max(1, int(float64(q.output)*math.Exp(hintSpread*r.rng.NormFloat64())))
 	}
 	for i, part := range c.shared {
-		q.prompt.Parts = append(q.prompt.Parts, Part{ID: uint64(c.tier*1_000_000 + i*100_000 + r.rng.IntN(part.things)), Tokens: part.tokens})
+		q.prompt.Parts = append(q.prompt.Parts, Part{ID: uint64(c.tier*1_000_000 + i*100_000 + r.rng.IntN(part.variants)), Tokens: part.tokens})
 	}
 	q.prompt.Parts = append(q.prompt.Parts, Part{ID: r.rng.Uint64(), Tokens: max(20, int(r.spread(c.own, 0)))})
 	for _, part := range q.prompt.Parts {
@@ -195,8 +195,8 @@
 
 // send picks an engine for the request and sends it there.
 func (r *replay) send(q *replayRequest) {
-	c, ok := q.gateway.table.Pick(r.now, Request{Pool: "p", Route: q.class.name, TargetGap: q.class.pauseLimit(), Tier: q.class.tier,
-		Target: q.class.target, Deadline: q.arrivedAt.Add(q.class.patient), Prompt: q.prompt, Exclude: q.tried, Hash: r.rng.Uint64(), Least: q.class.tier == 2})
+	c, ok := q.gateway.table.Pick(r.now, Request{Pool: "p", Route: q.class.name, TargetGap: q.class.gapLimit(), Tier: q.class.tier,
+		Target: q.class.target, Deadline: q.arrivedAt.Add(q.class.timeout), Prompt: q.prompt, Exclude: q.tried, Hash: r.rng.Uint64(), Least: q.class.tier == 2})
 	if c.RetryAfter > 0 {
 		r.rejected(q, c.RetryAfter)
 		return
@@ -265,14 +265,14 @@
 }
 
 // rejected makes a caller retry once, if its deadline allows the delay.
-func (r *replay) rejected(q *replayRequest, comeBack time.Duration) {
-	if q.retried || comeBack > (q.class.patient-r.now.Sub(q.arrivedAt))/3 {
+func (r *replay) rejected(q *replayRequest, retryAfter time.Duration) {
+	if q.retried || retryAfter > (q.class.timeout-r.now.Sub(q.arrivedAt))/3 {
 		r.count(q.class, refusedResult)
 		return
 	}
 	q.retried = true
 	q.tried = nil
-	r.after(milliseconds(comeBack), func() { r.send(q) })
+	r.after(milliseconds(retryAfter), func() { r.send(q) })
 }
 
 func (r *replay) began(run *replayRun) {
@@ -284,12 +284,12 @@
 	run.gateway.table.Ended(r.now, run.choice, Completed, Answer{Tokens: run.generated, LongestGap: run.longest})
 	first := run.began.Sub(run.arrivedAt)
 	switch {
-	case first > run.class.patient:
+	case first > run.class.timeout:
 		r.count(run.class, abandonedResult)
 	case first > run.class.target:
 		r.count(run.class, lateResult)
-	case run.longest > run.class.pauseLimit():
-		r.count(run.class, pausedResult)
+	case run.longest > run.class.gapLimit():
+		r.count(run.class, gapMissedResult)
 	default:
 		r.count(run.class, inTime)
 	}
@@ -386,8 +386,8 @@
 func (r *replay) report(t *testing.T) {
 	t.Helper()
 	for _, c := range r.classes {
-		t.Logf("%-6s in time %.3f late %.3f paused %.3f failed %.3f refused %.3f abandoned %.3f", c.name,
-			r.share(c.name, inTime), r.share(c.name, lateResult), r.share(c.name, pausedResult), r.share(c.name, failedResult), r.share(c.name, refusedResult), r.share(c.name, abandonedResult))
+		t.Logf("%-6s in time %.3f late %.3f gap missed %.3f failed %.3f refused %.3f abandoned %.3f", c.name,
+			r.share(c.name, inTime), r.share(c.name, lateResult), r.share(c.name, gapMissedResult), r.share(c.name, failedResult), r.share(c.name, refusedResult), r.share(c.name, abandonedResult))
 	}
 	t.Logf("prefilled again %d k, connections refused %d, outvoted %d, hanging %d", r.readAgain/1000, r.refusals, r.outvoted, r.hanging)
 }
--- a/internal/core/balance/retry_after.go
+++ b/internal/core/balance/retry_after.go
@@ -7,18 +7,20 @@
 )
 
 // retrySpread is the jitter of retries, as a fraction of the time until an upstream's
-// backoff ends: rejected callers arrived over such a time and return over one.
+// backoff ends: callers are rejected over all of that time, so their retries must not
+// arrive at once.
 const retrySpread = 0.5
 
-// returnDelay is the retry delay of callers that would overload the first upstream to
-// return from its backoff. It is about one answer; after that the upstream may get more.
+// returnDelay is the minimum retry delay, for callers that would overload the first
+// upstream to return from its backoff. It is about the duration of one answer, after which
+// the upstream may get more.
 const returnDelay = 100 * time.Millisecond
 
 // maxTurnBacklog is the longest time over which callers that found no turn are spread.
 const maxTurnBacklog = 4 * time.Second
 
 // RetryAfter returns the time after which a caller should retry if all available upstreams
-// of the pool are backing off, are at their slow-start limit, or have no turn: the time
+// of the pool are backing off, are at their slow-start limit, or have a rate limit: the time
 // until the first of them accepts more, plus jitter. It is 0 if there is any other
 // upstream. isLimited reports that the rate limits are the reason.
 func (t *Table) RetryAfter(now time.Time, pool string, hash uint64) (after time.Duration, isLimited bool) {
--- a/internal/core/balance/sample_test.go
+++ b/internal/core/balance/sample_test.go
@@ -17,8 +17,8 @@
 		engines  int
 		gateways int
 		age      time.Duration
-		// perS is the request rate of this gateway.
-		perS int
+		// perSecond is the request rate of this gateway.
+		perSecond int
 		// unread is the prefill backlog of each engine, in tokens.
 		unread int
 		want   int
@@ -39,8 +39,8 @@
 			picture := peerLoadsOf(nil)
 			picture.Age, picture.Gateways = tt.age, tt.gateways
 			now := t0
-			for range 5 * tt.perS {
-				now = now.Add(time.Second / time.Duration(tt.perS))
+			for range 5 * tt.perSecond {
+				now = now.Add(time.Second / time.Duration(tt.perSecond))
 				table.SetPeerLoads(now, picture)
 				c, ok := table.Pick(now, long(int(now.UnixNano())))
 				is.True(ok)
--- a/internal/core/balance/slowness.go
+++ b/internal/core/balance/slowness.go
@@ -46,16 +46,16 @@
 
 // medianGaps returns the medians of the pool.
 func (p *pool) medianGaps(now time.Time) medianGaps {
-	var tempos, strains []float64
+	var baseGaps, meanGaps []float64
 	for _, u := range p.members {
 		if gap, ok := u.fleetBaseGap(now); ok {
-			tempos = append(tempos, gap)
+			baseGaps = append(baseGaps, gap)
 		}
 		if gap, ok := u.fleetMeanGap(now); ok {
-			strains = append(strains, gap)
+			meanGaps = append(meanGaps, gap)
 		}
 	}
-	return medianGaps{base: median(tempos), meanGap: median(strains)}
+	return medianGaps{base: median(baseGaps), meanGap: median(meanGaps)}
 }
 
 // median returns the lower median; 0 for an empty list.
--- a/internal/core/balance/table.go
+++ b/internal/core/balance/table.go
@@ -110,8 +110,7 @@
 	unplaced arrivals
 }
 
-// Table is one gateway's view of the upstreams. It is not safe for concurrent
-// use.
+// Table is one gateway's view of the upstreams. It is not safe for concurrent use.
 type Table struct {
 	zone      string
 	upstreams map[string]*upstream
@@ -305,7 +304,7 @@
 	return p
 }
 
-// SetPools applies the configuration of the pools' engines.
+// SetPools applies the configuration of the pools.
 func (t *Table) SetPools(table *ingress.Table) {
 	for name := range t.pools {
 		if p, ok := table.Pool(name); ok {
--- a/internal/core/balance/votes.go
+++ b/internal/core/balance/votes.go
@@ -6,7 +6,7 @@
 	"github.com/gladegauge/gladegauge/internal/core/health"
 )
 
-// A part of a pool refuses or fails most requests. If each gateway detected each such
+// A part of a pool may refuse or fail most requests. If each gateway detected each such
 // upstream separately, the loss would grow with the number of gateways.
 //
 // Each gateway therefore publishes its latest observation of an upstream: an answer, or a
@@ -23,9 +23,9 @@
 	health.Verdict
 }
 
-// mayRunTrial reports whether the request may be sent to such an upstream as a trial: one
-// request at a time, of the lowest urgency while there are some, and after votes against
-// it only from a few gateways.
+// mayRunTrial reports whether the request may be sent as a trial to an upstream on trial:
+// one request at a time, of the lowest urgency while there are some, and after a demotion
+// only from a few gateways.
 func (t *Table) mayRunTrial(now time.Time, u *upstream, r Request) bool {
 	if u.unanswered() > 0 || (!r.Least && !u.health.TrialOverdue(now)) {
 		return false
--- a/internal/core/balance/votes_test.go
+++ b/internal/core/balance/votes_test.go
@@ -15,8 +15,8 @@
 	first *upstream
 }
 
-// newVoters returns a gateway for which two others have just put the first of four
-// upstreams last. holds is whether the gateway takes part in the trial.
+// newVoters returns a gateway at which the votes of two others have just demoted the first
+// of four upstreams. holds is whether the gateway takes part in the trial.
 func newVoters(holds bool) voters {
 	table := tableWith(4)
 	table.holds = func(time.Time, uint64, int) bool { return holds }
@@ -45,11 +45,10 @@
 	return Choice{}, false
 }
 
-// A gateway with false votes could keep an upstream excluded that others had put last
-// once: its vote alone counted as a failed trial at the moment when the trials began, for
-// four seconds each time (log fields "against":2,"for":0,"last_for":4000 at all
-// gateways). Only a trial that failed here, or the votes of two gateways, may put an
-// upstream last again.
+// After a demotion, the vote of a single faulty gateway must not count as a failed trial:
+// it demoted the upstream again at all gateways as soon as the trial began, for four
+// seconds each time. Only a trial that failed at this gateway, or the votes of two
+// gateways, may demote the upstream again.
 func TestOneVoteEndsNoTrial(t *testing.T) {
 	is := is.New(t)
 	v := newVoters(true)
@@ -92,7 +91,7 @@
 	is.True(ok)
 }
 
-// A failed trial puts the upstream last for twice as long.
+// A failed trial demotes the upstream again, for twice as long.
 func TestFailedTrial(t *testing.T) {
 	is := is.New(t)
 	v := newVoters(true)
--- a/internal/core/fleet/peers.go
+++ b/internal/core/fleet/peers.go
@@ -15,7 +15,7 @@
 // failed records that a call to the gateway failed, and returns the backoff before the
 // next call. The backoff doubles with each failure until the gateway's heartbeat rises.
 // In a large fleet a dead gateway is considered alive for longer; without the doubling,
-// the gateway that calls it first each time would lose its answer over and over.
+// a gateway that prefers it to others would call it in vain over and over.
 func (p *peer) failed() time.Duration {
 	d := callBackoff << p.failures
 	p.failures = min(p.failures+1, maxBackoffDoublings)
--- a/internal/core/gateway/gateway_test.go
+++ b/internal/core/gateway/gateway_test.go
@@ -71,19 +71,19 @@
 // that it did not run, and that refusals state correctly whether it ran.
 func TestNext(t *testing.T) {
 	tests := []struct {
-		name     string
-		kind     ingress.Kind
-		resume   bool
-		failures []Failure
-		now      time.Time
-		noBudget bool
-		bodyGone bool
-		answered bool
-		backed   bool
-		suspect  bool
-		do       Action
-		refusal  Kind
-		notRun   bool
+		name        string
+		kind        ingress.Kind
+		resume      bool
+		failures    []Failure
+		now         time.Time
+		noBudget    bool
+		bodyDropped bool
+		answered    bool
+		hasBackup   bool
+		suspect     bool
+		do          Action
+		refusal     Kind
+		notRun      bool
 	}{
 		{name: "once, unreachable", kind: ingress.Once, failures: []Failure{Unsent}, do: Retry},
 		{name: "once, unreachable costs no budget", kind: ingress.Once, failures: []Failure{Unsent}, noBudget: true, do: Retry},
@@ -96,7 +96,7 @@
 		{name: "once, replaced four times", kind: ingress.Once, failures: []Failure{Replaced, Replaced, Replaced, Replaced}, do: Refuse, refusal: Unavailable, notRun: true},
 		{name: "once, lost and then replaced", kind: ingress.Once, failures: []Failure{Lost, Replaced}, do: Refuse, refusal: Unknown},
 		{name: "once, refused twice", kind: ingress.Once, failures: []Failure{NotRun, NotRun}, do: Refuse, refusal: Unavailable, notRun: true},
-		{name: "once, refused, body gone", kind: ingress.Once, failures: []Failure{NotRun}, bodyGone: true, do: Refuse, refusal: Unavailable, notRun: true},
+		{name: "once, refused, body not kept", kind: ingress.Once, failures: []Failure{NotRun}, bodyDropped: true, do: Refuse, refusal: Unavailable, notRun: true},
 		{name: "once, lost", kind: ingress.Once, failures: []Failure{Lost}, do: Refuse, refusal: Unknown},
 		{name: "once, attempt timed out", kind: ingress.Once, failures: []Failure{Silent}, do: Refuse, refusal: Unknown},
 		{name: "once, faulty", kind: ingress.Once, failures: []Failure{Faulty}, do: Relay},
@@ -111,17 +111,17 @@
 		{name: "stream, lost in the middle", kind: ingress.Stream, failures: []Failure{Lost}, answered: true, do: Abort},
 		{name: "resumable, lost in the middle", kind: ingress.Stream, resume: true, failures: []Failure{Lost}, answered: true, do: Retry},
 		{name: "resumable, lost twice", kind: ingress.Stream, resume: true, failures: []Failure{Lost, Lost}, answered: true, do: Abort},
-		{name: "backed, lost in the middle", kind: ingress.Stream, failures: []Failure{Lost}, answered: true, backed: true, do: Continue},
-		{name: "backed, timed out in the middle", kind: ingress.Stream, failures: []Failure{Silent}, answered: true, backed: true, do: Continue},
-		{name: "backed, lost in the middle, no budget", kind: ingress.Stream, failures: []Failure{Lost}, answered: true, backed: true, noBudget: true, do: Abort},
-		{name: "backed, lost before its first event", kind: ingress.Stream, failures: []Failure{Lost}, backed: true, do: Refuse, refusal: Unknown},
-		{name: "backed, its copy was refused", kind: ingress.Stream, failures: []Failure{Lost, NotRun}, answered: true, do: Abort},
-		{name: "backed, its copy's engine is unreachable", kind: ingress.Stream, failures: []Failure{Lost, Unsent}, answered: true, do: Abort},
-		{name: "backed, its copy's engine was replaced", kind: ingress.Stream, failures: []Failure{Lost, Replaced}, answered: true, do: Abort},
-		{name: "backed, no time left", kind: ingress.Stream, failures: []Failure{Lost}, answered: true, backed: true, now: t0.Add(999 * time.Millisecond), do: Abort},
+		{name: "with a backup, lost in the middle", kind: ingress.Stream, failures: []Failure{Lost}, answered: true, hasBackup: true, do: Continue},
+		{name: "with a backup, timed out in the middle", kind: ingress.Stream, failures: []Failure{Silent}, answered: true, hasBackup: true, do: Continue},
+		{name: "with a backup, lost in the middle, no budget", kind: ingress.Stream, failures: []Failure{Lost}, answered: true, hasBackup: true, noBudget: true, do: Abort},
+		{name: "with a backup, lost before its first event", kind: ingress.Stream, failures: []Failure{Lost}, hasBackup: true, do: Refuse, refusal: Unknown},
+		{name: "with a backup, the continuation was refused", kind: ingress.Stream, failures: []Failure{Lost, NotRun}, answered: true, do: Abort},
+		{name: "with a backup, the backup engine is unreachable", kind: ingress.Stream, failures: []Failure{Lost, Unsent}, answered: true, do: Abort},
+		{name: "with a backup, the backup engine was replaced", kind: ingress.Stream, failures: []Failure{Lost, Replaced}, answered: true, do: Abort},
+		{name: "with a backup, no time left", kind: ingress.Stream, failures: []Failure{Lost}, answered: true, hasBackup: true, now: t0.Add(999 * time.Millisecond), do: Abort},
 		{name: "suspect, lost", kind: ingress.Repeatable, suspect: true, failures: []Failure{Lost}, do: Refuse, refusal: Unknown},
 		{name: "suspect, lost in the middle", kind: ingress.Stream, resume: true, suspect: true, failures: []Failure{Lost}, answered: true, do: Abort},
-		{name: "suspect with a copy, lost in the middle", kind: ingress.Stream, suspect: true, failures: []Failure{Lost}, answered: true, backed: true, do: Abort},
+		{name: "suspect with a backup, lost in the middle", kind: ingress.Stream, suspect: true, failures: []Failure{Lost}, answered: true, hasBackup: true, do: Abort},
 		{name: "suspect, unreachable", kind: ingress.Repeatable, suspect: true, failures: []Failure{Unsent}, do: Retry},
 		{name: "suspect, refused", kind: ingress.Stream, suspect: true, failures: []Failure{NotRun}, do: Retry},
 		{name: "the caller left", kind: ingress.Repeatable, failures: []Failure{CallerGone}, do: Abort},
@@ -130,7 +130,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			a := Admission{Deadline: t0.Add(time.Second), Route: &ingress.Route{Kind: tt.kind, Resumable: tt.resume, MaxAttempts: 2}}
-			p := Progress{Replayable: !tt.bodyGone, ResponseStarted: tt.answered, HasBackup: tt.backed, Suspect: tt.suspect}
+			p := Progress{Replayable: !tt.bodyDropped, ResponseStarted: tt.answered, HasBackup: tt.hasBackup, Suspect: tt.suspect}
 			for _, f := range tt.failures {
 				p = p.With(f)
 			}
--- a/internal/core/occupancy/load.go
+++ b/internal/core/occupancy/load.go
@@ -43,8 +43,9 @@
 	Limited  int
 	LimitLog float64
 	Free     int
-	// Failing is the number of gateways whose latest request there failed or was refused,
-	// Served the number of those whose latest request was answered.
+	// Failing is the number of gateways whose latest observation there, if recent, is a
+	// request that failed, hung or was refused, and Served the number of those for which
+	// it is an answer that began.
 	Failing int
 	Served  int
 }
@@ -130,7 +131,7 @@
 	return min(max(l.LimitLog/float64(l.Limited), -maxLimitLog), maxLimitLog)
 }
 
-// Loads maps the hash of an upstream's identity to its load. Upstreams without load are
+// Loads maps the key of an upstream's incarnation to its load. Upstreams without load are
 // left out.
 type Loads map[uint64]Load
 
--- a/internal/core/occupancy/part_log.go
+++ b/internal/core/occupancy/part_log.go
@@ -2,7 +2,7 @@
 
 // Part is a prompt prefix that an engine has in its KV cache, or will have read soon.
 type Part struct {
-	// Upstream is the hash of the engine's identity.
+	// Upstream is the key of the engine's incarnation.
 	Upstream uint64
 	// Key identifies the last part of the prefix together with all parts before it.
 	Key    uint64
--- a/internal/core/occupancy/tracker.go
+++ b/internal/core/occupancy/tracker.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// report is the loads that a gateway, cell, zone or relay last sent, and when they
+// report holds the loads that a gateway, cell, zone or relay last sent, and when they
 // arrived.
 type report struct {
 	loads Loads
@@ -13,7 +13,7 @@
 // concurrent use.
 type Tracker struct {
 	own Loads
-	// members are the reports of the gateways and cells of the own availability zone,
+	// members holds the reports of the gateways and cells of the own availability zone,
 	// peers those of the members and of other zones.
 	members *reportSet
 	peers   *reportSet
@@ -75,7 +75,7 @@
 }
 
 // exchangedShare is the part of the reporting interval within which a report from another
-// availability zone shows that its relay has just called this one.
+// availability zone shows that the two relays have just exchanged reports.
 const exchangedShare = 0.75
 
 // RecentlyExchanged reports whether the relay of the other availability zone has just
--- a/internal/core/overload/overload.go
+++ b/internal/core/overload/overload.go
@@ -93,7 +93,7 @@
 	Target time.Duration
 	// Wait is its expected wait until prefill at the best upstream that was found.
 	// Pending returns the longest time that such a request of this gateway has been
-	// waiting; it is called only if it decides.
+	// waiting; it is called only if the decision depends on it.
 	Wait    time.Duration
 	Pending func() time.Duration
 	// Completion is the expected time from now until its answer is complete, and TimeLeft
--- a/internal/core/overload/shares_test.go
+++ b/internal/core/overload/shares_test.go
@@ -11,14 +11,14 @@
 // first one times as often as the others. A queue builds up while more is admitted than
 // the gateway's part of the pool can prefill. It returns the admitted shares of the first
 // organisation and of the others.
-func flood(times int, readPerS float64) (first, others float64) {
+func flood(times int, readPerSecond float64) (first, others float64) {
 	const organisations, every = 10, 100 * time.Millisecond
 	var q Queue
 	var backlog, requested, admitted [2]float64
 	now := t0
 	for range 100 {
 		now = now.Add(every)
-		backlog[0] = max(0, backlog[0]-readPerS*every.Seconds())
+		backlog[0] = max(0, backlog[0]-readPerSecond*every.Seconds())
 		for o := range organisations {
 			n, kind := 1, 1
 			if o == 0 {
@@ -28,7 +28,7 @@
 				requested[kind]++
 				a := AdmissionRequest{
 					Target: time.Second, Pending: func() time.Duration { return time.Second }, Organisation: uint64(o), Tokens: 1000,
-					Wait: time.Duration(backlog[0] / readPerS * float64(time.Second)),
+					Wait: time.Duration(backlog[0] / readPerSecond * float64(time.Second)),
 				}
 				if q.CheckAdmission(now, a) == 0 {
 					admitted[kind]++
@@ -46,9 +46,9 @@
 	tests := []struct {
 		name string
 		// times is the rate of the first organisation relative to each other one,
-		// readPerS the number of tokens read per second; the others request 90,000.
-		times    int
-		readPerS float64
+		// readPerSecond the number of tokens read per second; the others request 90,000.
+		times         int
+		readPerSecond float64
 		// most is the maximum admitted share of the first organisation, least the minimum
 		// one of the others.
 		most, least float64
@@ -61,7 +61,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			first, others := flood(tt.times, tt.readPerS)
+			first, others := flood(tt.times, tt.readPerSecond)
 			t.Logf("admitted of the first organisation %.2f, of the others %.2f", first, others)
 			is.True(first <= tt.most)
 			is.True(others >= tt.least)
--- a/internal/core/reader/reader.go
+++ b/internal/core/reader/reader.go
@@ -1,5 +1,5 @@
-// Package reader decides whom a gateway queries next for the state of the platform's
-// store: another gateway, or the store itself.
+// Package reader decides where a gateway queries next for the state of the platform's
+// store: at another gateway, or at the store itself.
 //
 // In normal operation one gateway of a region reads the store and the others follow it
 // (package fleet computes the order). A Reader is one gateway's part of that. It issues
@@ -77,8 +77,8 @@
 	// storeNext is true if the next query goes to the store, because other gateways did
 	// not answer or the store has yet to be listed.
 	storeNext bool
-	// queryDeadline is when this gateway queries the store at the latest, whichever
-	// others do; zero while the known state is not stale.
+	// queryDeadline is when this gateway queries the store at the latest, whatever other
+	// gateways do; zero while the known state is not stale.
 	queryDeadline time.Time
 }
 
@@ -179,7 +179,8 @@
 	r.pauseUntil = now.Add(half + randomFraction(half, random))
 }
 
-// StoreAnswered records that the store answered, and returns how it had been lost.
+// StoreAnswered records that the store answered, and describes the loss of the store that
+// ended with this answer, if any.
 func (r *Reader) StoreAnswered(now time.Time) Loss {
 	loss := r.storeHealth.loss(now)
 	r.storeHealth.succeeded(now)
@@ -189,7 +190,7 @@
 // Lost reports whether the latest call to the store failed.
 func (r *Reader) Lost() bool { return r.storeHealth.lost() }
 
-// Listed records that everything was read.
+// Listed records that the store was listed.
 func (r *Reader) Listed() {
 	r.listed = true
 	r.needsRelist = false
@@ -203,8 +204,8 @@
 	}
 }
 
-// PeerStateReceived records that another gateway sent its state, and whether that is
-// ahead of what was known.
+// PeerStateReceived records that another gateway sent its state of the store, and whether
+// that is newer than the known one.
 func (r *Reader) PeerStateReceived(ahead bool) {
 	r.listed = false
 	if ahead {
--- a/internal/core/roster/restore.go
+++ b/internal/core/roster/restore.go
@@ -6,8 +6,8 @@
 	"github.com/gladegauge/gladegauge/internal/core/balance"
 )
 
-// tombstoneTTL is how long a removed upstream is retained. It is far longer than the
-// age of a copy of the store.
+// tombstoneTTL is how long the removal of an upstream is remembered. It is far longer than
+// the age of a copy of the store.
 const tombstoneTTL = time.Minute
 
 // StoreRestore describes a restore of the store from a copy: writes after the copy was
@@ -89,10 +89,10 @@
 
 // confirm lists the unconfirmed upstreams whose entries outlived their time to live.
 func (r *Roster) confirm(now time.Time) {
-	for id, d := range r.unconfirmed {
-		if !now.Before(d.until) {
+	for id, u := range r.unconfirmed {
+		if !now.Before(u.until) {
 			delete(r.unconfirmed, id)
-			r.put(d.Instance)
+			r.put(u.Instance)
 		}
 	}
 }
--- a/internal/core/roster/roster.go
+++ b/internal/core/roster/roster.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// Recovered records that the store answers again after an outage. It returned at the
-// given time or later.
+// Recovered records that the store answers again after an outage, which ended at the given
+// time or later.
 func (r *Roster) Recovered(at time.Time) {
 	if !at.After(r.recoveredAt.Add(outageMergeWindow)) {
 		return
@@ -114,8 +114,8 @@
 		return list
 	}
 	return slices.DeleteFunc(slices.Clone(list), func(in balance.Instance) bool {
-		d, ok := r.unconfirmed[in.ID]
-		return ok && !startedBefore(d.Instance, in)
+		u, ok := r.unconfirmed[in.ID]
+		return ok && !startedBefore(u.Instance, in)
 	})
 }
 
@@ -134,11 +134,11 @@
 // indicatesExpiry reports whether entries must have expired: one was created again, or
 // too many are missing for a replacement.
 func (r *Roster) indicatesExpiry(changed []balance.Instance, removed []string) bool {
-	came, missing := 0, 0
+	added, missing := 0, 0
 	for _, in := range changed {
 		held, ok := r.listed[in.ID]
 		if !ok {
-			came++
+			added++
 		}
 		// A new start creates the entry again as well.
 		if ok && held.Created != in.Created && !held.RestartedAs(in) {
@@ -150,7 +150,7 @@
 			missing++
 		}
 	}
-	return missing > came+len(r.listed)/expiredDivisor
+	return missing > added+len(r.listed)/expiredDivisor
 }
 
 func (r *Roster) put(in balance.Instance) {
@@ -223,8 +223,8 @@
 	for _, until := range r.expired {
 		earliest(until)
 	}
-	for _, d := range r.unconfirmed {
-		earliest(d.until)
+	for _, u := range r.unconfirmed {
+		earliest(u.until)
 	}
 	for _, until := range r.evacuated {
 		earliest(until)
--- a/internal/core/suspect/registry.go
+++ b/internal/core/suspect/registry.go
@@ -26,7 +26,7 @@
 	maxRoundLead = 64
 )
 
-// Verdict says how a request may run.
+// Verdict says whether and how a request may run.
 type Verdict int
 
 // Verdicts on a request.
@@ -36,8 +36,8 @@
 	// Quarantined requests run alone, where they affect the fewest other requests, and
 	// once.
 	Quarantined
-	// Occupied means that the request is quarantined and another run of it is in progress
-	// at this gateway.
+	// Occupied requests are quarantined and do not run now, because another run of the same
+	// request is in progress at this gateway.
 	Occupied
 	// Blocked requests do not run.
 	Blocked
