--- a/internal/core/balance/hanging_test.go
+++ b/internal/core/balance/hanging_test.go
@@ -10,7 +10,7 @@
 )
 
 // A hanging prompt is a vote against its engine until one second after it ends. The start
-// of an answer is a vote in favour; other signs of life are not.
+// of an answer is a vote in favour; nothing else is.
 func TestHangingVotes(t *testing.T) {
 	const (
 		against = "against"
--- a/internal/core/balance/limited_test.go
+++ b/internal/core/balance/limited_test.go
@@ -28,9 +28,9 @@
 	return table
 }
 
-// taken is the number of requests that the pool accepts in the interval, with one request
+// accepted is the number of requests that the pool accepts in the interval, with one request
 // every 10 ms.
-func taken(table *Table, from, to int, least bool) int {
+func accepted(table *Table, from, to int, least bool) int {
 	n := 0
 	for ms := from; ms < to; ms += 10 {
 		r := plainRequest(ms)
@@ -63,7 +63,7 @@
 		{"a high limit", 4, 50, true, 0, 4_000, 42, 50},
 		{"a limit that does not bind", 1, 1e12, true, 0, 4_000, 400, 400},
 		{"after an hour without requests", 2, 1, true, 3_600_000, 3_604_000, 2, 5},
-		{"limit 0 still allows probes for its end", 1, 0, true, 0, 20_000, 4, 8},
+		{"limit 0 still allows requests that detect its end", 1, 0, true, 0, 20_000, 4, 8},
 		{"limit near 0", 800, 0.001, true, 0, 20_000, 1, 2},
 	}
 	for _, tt := range tests {
@@ -71,8 +71,8 @@
 			is := is.New(t)
 			table := limitedTable(1, tt.gateways, tt.perSecond)
 			table.holds = func(time.Time, uint64, int) bool { return tt.holds }
-			n := taken(table, tt.from, tt.to, false)
-			t.Logf("%d were taken", n)
+			n := accepted(table, tt.from, tt.to, false)
+			t.Logf("%d accepted", n)
 			is.True(n >= tt.least && n <= tt.most)
 		})
 	}
@@ -92,8 +92,8 @@
 		{"limit rises", func(table *Table, in Instance) { table.Notice(at(10_000), in, limitOf(9_000, 20)) }, 33, 47},
 		{"limit falls", func(table *Table, in Instance) { table.Notice(at(10_000), in, limitOf(9_000, 0.1)) }, 0, 1},
 		{"limit ends", func(table *Table, in Instance) { table.Notice(at(10_000), in, notice.Notice{SentAt: at(9_000)}) }, 200, 200},
-		{"late answer from before the limit", func(table *Table, in Instance) { table.Notice(at(10_000), in, notice.Notice{SentAt: at(-5)}) }, 1, 3},
-		{"entry lapses and is created again", func(table *Table, in Instance) {
+		{"late answer to a request from before the limit", func(table *Table, in Instance) { table.Notice(at(10_000), in, notice.Notice{SentAt: at(-5)}) }, 1, 3},
+		{"entry expires and is created again", func(table *Table, in Instance) {
 			table.SetInstances(at(10_000), nil)
 			table.SetInstances(at(10_000), []Instance{in})
 		}, 1, 4},
@@ -110,10 +110,10 @@
 			in.Born = 6
 			table.SetInstances(t0, []Instance{in})
 			table.Notice(t0, in, limitOf(-1, 1))
-			taken(table, 0, 10_000, false)
+			accepted(table, 0, 10_000, false)
 			tt.change(table, in)
-			n := taken(table, 10_000, 12_000, false)
-			t.Logf("%d were taken", n)
+			n := accepted(table, 10_000, 12_000, false)
+			t.Logf("%d accepted", n)
 			is.True(n >= tt.least && n <= tt.most)
 		})
 	}
@@ -152,12 +152,12 @@
 	is.True(d.LimitsReported)
 	is.Equal(len(d.Limited), 1)
 	is.Equal(table.LimitedUpstreams(), 1)
-	is.Equal(taken(table, 10, 500, false), 0)
+	is.Equal(accepted(table, 10, 500, false), 0)
 	d = tell(500, occupancy.Load{Free: 2})
 	is.True(d.LimitsReported)
 	is.Equal(len(d.Limited), 1)
 	is.True(!d.Limited[0].Announced)
-	is.Equal(taken(table, 510, 1000, false), 49)
+	is.Equal(accepted(table, 510, 1000, false), 49)
 }
 
 // A limit that an upstream named to this gateway is propagated while it is fresh; so is
@@ -201,7 +201,7 @@
 	t.Logf("%d urgent, %d least urgent", urgent, least)
 	is.True(urgent >= 200)
 	is.True(least >= 20)
-	is.True(taken(limitedTable(1, 1, 10), 0, 30_000, true) >= 150) // they get most turns if there are no others
+	is.True(accepted(limitedTable(1, 1, 10), 0, 30_000, true) >= 150) // they get most turns if there are no others
 }
 
 // If all upstreams have a rate limit, a request without a turn gets a retry delay at
@@ -221,7 +221,7 @@
 		return most
 	}
 	is.True(latest(20) < 2*time.Second)
-	taken(table, 10, 200, false)
+	accepted(table, 10, 200, false)
 	is.True(latest(210) > 4*time.Second)
 	is.True(latest(210) < 6*time.Second)
 	in := table.pools["p"].members[0].Instance
--- a/internal/core/balance/notices_test.go
+++ b/internal/core/balance/notices_test.go
@@ -39,7 +39,7 @@
 	}{
 		{"one notice", a, leaves, nil, "b"},
 		{"listed as ready later", a, leaves, [][]Instance{{a, b}, {a, b}}, "b"},
-		{"entry lapses and is created again", a, leaves, [][]Instance{{b}, {a, b}}, "b"},
+		{"entry expires and is created again", a, leaves, [][]Instance{{b}, {a, b}}, "b"},
 		{"moves to another address", a, leaves, [][]Instance{{moved, b}}, "b"},
 		{"another incarnation with its ID", a, leaves, [][]Instance{{restarted, b}}, "ab"},
 		{"the previous incarnation is listed again", a, leaves, [][]Instance{{restarted, b}, {a, b}}, "b"},
--- a/internal/core/balance/refused_test.go
+++ b/internal/core/balance/refused_test.go
@@ -25,10 +25,10 @@
 		times int
 		// load is the load that the upstream reports with its refusal; nil for none.
 		load *Load
-		// votes is true if the gateway votes against the upstream; out is how long the
-		// upstream is excluded.
-		votes bool
-		out   time.Duration
+		// votesAgainst is true if the gateway votes against the upstream; excludedFor is
+		// how long the upstream is excluded.
+		votesAgainst bool
+		excludedFor  time.Duration
 	}{
 		{"reports that it is full", Refused, 0, 10, time.Millisecond, time.Second, 3, &Load{Running: 8, Slots: 8}, false, health.FullBackoff},
 		{"reports queued requests", Refused, 0, 10, time.Millisecond, time.Second, 3, &Load{Running: 2, Waiting: 1, Slots: 8}, false, health.FullBackoff},
@@ -62,8 +62,8 @@
 				now = now.Add(tt.took)
 				table.Ended(now, c, tt.o, Answer{Load: tt.load})
 			}
-			is.Equal(u.health.ExcludedFor(now), tt.out)
-			is.Equal(table.Loads(now)[u.incarnation].Failing == 1, tt.votes)
+			is.Equal(u.health.ExcludedFor(now), tt.excludedFor)
+			is.Equal(table.Loads(now)[u.incarnation].Failing == 1, tt.votesAgainst)
 		})
 	}
 }
--- a/internal/core/balance/sample_test.go
+++ b/internal/core/balance/sample_test.go
@@ -36,12 +36,12 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			table := enginesWith(t, tt.engines)
-			picture := peerLoadsOf(nil)
-			picture.Age, picture.Gateways = tt.age, tt.gateways
+			peerLoads := peerLoadsOf(nil)
+			peerLoads.Age, peerLoads.Gateways = tt.age, tt.gateways
 			now := t0
 			for range 5 * tt.perSecond {
 				now = now.Add(time.Second / time.Duration(tt.perSecond))
-				table.SetPeerLoads(now, picture)
+				table.SetPeerLoads(now, peerLoads)
 				c, ok := table.Pick(now, long(int(now.UnixNano())))
 				is.True(ok)
 				table.Ended(now, c, Completed, Answer{})
@@ -51,9 +51,9 @@
 			for _, u := range p.members {
 				loads[u.hash] = occupancy.Load{Unread: tt.unread}
 			}
-			picture.Loads, picture.Age = loads, 0
+			peerLoads.Loads, peerLoads.Age = loads, 0
 			now = now.Add(reservationTTL + time.Millisecond)
-			table.SetPeerLoads(now, picture)
+			table.SetPeerLoads(now, peerLoads)
 			table.peersAge = tt.age
 			got := table.sampleSize(now, p, tt.engines, false)
 			is.True(float64(got) >= 0.8*float64(tt.want) && float64(got) <= 1.2*float64(tt.want))
@@ -66,9 +66,9 @@
 func TestHomeIsSampled(t *testing.T) {
 	is := is.New(t)
 	table := enginesWith(t, 100)
-	picture := peerLoadsOf(nil)
-	picture.Age, picture.Gateways = time.Second, 1000
-	table.SetPeerLoads(t0, picture)
+	peerLoads := peerLoadsOf(nil)
+	peerLoads.Age, peerLoads.Gateways = time.Second, 1000
+	table.SetPeerLoads(t0, peerLoads)
 	p := table.pools["p"]
 	p.sent.others = arrivals{count: 100, at: t0}
 	for i := range 50 {
@@ -85,9 +85,9 @@
 	is := is.New(t)
 	table := enginesWith(t, 1)
 	u := table.pools["p"].members[0]
-	picture := peerLoadsOf(occupancy.Loads{u.hash: {Unread: 10_000}})
-	picture.Age = 50 * time.Millisecond
-	table.SetPeerLoads(t0, picture)
+	peerLoads := peerLoadsOf(occupancy.Loads{u.hash: {Unread: 10_000}})
+	peerLoads.Age = 50 * time.Millisecond
+	table.SetPeerLoads(t0, peerLoads)
 	is.Equal(u.unread(t0, 40), 8000)
 	is.Equal(u.unread(at(100), 40), 4000)
 	is.Equal(u.unread(at(600), 40), 0)
--- a/internal/core/balance/throttle_test.go
+++ b/internal/core/balance/throttle_test.go
@@ -12,15 +12,15 @@
 func TestThrottle(t *testing.T) {
 	const x, y = 1, 2
 	type refusal struct {
-		// of is the index of the upstream.
-		of           int
+		// index is that of the upstream in its pool.
+		index        int
 		organisation uint64
 	}
 	tests := []struct {
 		name     string
 		refusals []refusal
-		// out is whether the last refusal counts against the upstream.
-		out bool
+		// counts is true if the last refusal counts against the upstream.
+		counts bool
 	}{
 		{"once", []refusal{{0, x}}, true},
 		{"one upstream repeatedly", []refusal{{0, x}, {0, x}, {0, x}}, true},
@@ -36,14 +36,14 @@
 			p := table.pools["p"]
 			before, after := 0, 0
 			for i, refused := range tt.refusals {
-				u := p.members[refused.of]
+				u := p.members[refused.index]
 				c := Choice{Instance: u.Instance}
 				table.commit(at(i), p, u, Request{Pool: "p", Organisation: refused.organisation}, &c)
 				before = u.health.Failures()
 				table.Ended(at(i), c, Throttled, Answer{})
 				after = u.health.Failures()
 			}
-			is.Equal(after > before, tt.out)
+			is.Equal(after > before, tt.counts)
 		})
 	}
 }
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -52,8 +52,8 @@
 			r.Change(at(20), []balance.Instance{{ID: "a", Created: 9, Born: 2}}, nil)
 			r.Change(at(30), nil, []string{"b"})
 		}, at(40), "acde"},
-		// Guards against using a replica for two seconds longer that left 1.6 s after the
-		// store was back.
+		// An upstream that left 1.6 s after the return of the store must not be used for two
+		// more seconds.
 		{"an upstream that leaves after the return is not retained longer", func(r *Roster) {
 			r.Recovered(at(0))
 			r.Change(at(1600), nil, []string{"a"})
@@ -64,8 +64,8 @@
 			r.Change(at(20), nil, []string{"a"})
 		}, at(20), "b"},
 	}
-	// A gateway that alone lost the store for 12 s must not use a replica that left in
-	// the meantime for three seconds longer.
+	// If a gateway alone lost the store, for 12 s, an upstream that left in the meantime
+	// must not be used for three more seconds.
 	eight := make([]balance.Instance, 8)
 	for i := range eight {
 		eight[i] = balance.Instance{ID: string(rune('a' + i)), Created: int64(i + 1)}
--- a/internal/core/warmup/warmup_test.go
+++ b/internal/core/warmup/warmup_test.go
@@ -24,8 +24,8 @@
 	{PerSecond: 200, MaxRequests: 200*1.5 + 10},
 }
 
-// A split stays within the bound for one set of holders, and for two sets where there is
-// room; it uses most of a cold upstream's rate, and at least some of it.
+// A split has at least one holder, and stays within the bound for one set of holders, and
+// for two sets where there is room.
 func TestSplit(t *testing.T) {
 	is := is.New(t)
 	for _, b := range bounds {
