--- a/cmd/gladegauge-gateway/main.go
+++ b/cmd/gladegauge-gateway/main.go
@@ -30,9 +30,10 @@
 	// memoryShare is the garbage collector's soft memory limit as a fraction of the host's
 	// limit. It keeps the process from being killed for exceeding the latter.
 	memoryShare = 0.7
-	// collectAt is the garbage collector's target in percent of the live heap. Memory is
-	// scarce on the hosts of entries, and their live heap is small.
-	collectAt = 50
+	// gcPercent is the growth of the heap, in percent of the live heap, after which the
+	// garbage collector runs. Memory is scarce on the hosts of entries, and their live heap
+	// is small.
+	gcPercent = 50
 	// maxPort is the highest port number.
 	maxPort = 65535
 )
@@ -79,7 +80,7 @@
 
 // run runs the gateway until it stops and returns the exit code.
 func run(ctx context.Context, o *options) int {
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	if limit := o.settings.MemoryBytes; limit > 0 {
 		debug.SetMemoryLimit(int64(memoryShare * float64(limit)))
 	}
--- a/internal/edge/agentd/end.go
+++ b/internal/edge/agentd/end.go
@@ -21,15 +21,15 @@
 
 // recordCrash records that nothing listens at the upstream's address. Each run that a
 // crash interrupted reports it, so repeated reports count as one crash.
-func (u *crashCounter) recordCrash() {
-	if !u.crashed {
-		u.crashed = true
-		u.n++
+func (c *crashCounter) recordCrash() {
+	if !c.crashed {
+		c.crashed = true
+		c.n++
 	}
 }
 
 // recordResponse records that the upstream has responded.
-func (u *crashCounter) recordResponse() { u.crashed = false }
+func (c *crashCounter) recordResponse() { c.crashed = false }
 
 // crashedIncarnation returns the hash that identifies the upstream incarnation if it crashed
 // during the run. It returns 0 if the upstream still listens, or if the agent itself
--- a/internal/edge/exchange/pool.go
+++ b/internal/edge/exchange/pool.go
@@ -13,8 +13,8 @@
 	// DefaultKeepAlive is how long an idle connection is kept if the upstream does not state
 	// it.
 	DefaultKeepAlive = 4 * time.Second
-	// keepAliveMargin is subtracted from the time that the upstream states, so that a
-	// request does not cross the upstream's close.
+	// keepAliveMargin is subtracted from the time that the upstream states, so that no
+	// request is sent while the upstream closes the connection.
 	keepAliveMargin = time.Second
 )
 
--- a/internal/edge/gatewayd/answer.go
+++ b/internal/edge/gatewayd/answer.go
@@ -132,12 +132,12 @@
 // commit sends the head of the answer to the caller.
 func (x *request) commit(status int, upstream http.Header, length int64) {
 	h := x.w.Header()
-	closing := h.Get("Connection")
+	connection := h.Get("Connection")
 	for name, values := range platform.CallerHeader(upstream) {
 		h[name] = values
 	}
-	if closing != "" {
-		h.Set("Connection", closing)
+	if connection != "" {
+		h.Set("Connection", connection)
 	}
 	if length < 0 {
 		h.Del("Content-Length")
--- a/internal/edge/gatewayd/apply.go
+++ b/internal/edge/gatewayd/apply.go
@@ -28,8 +28,8 @@
 // that nothing newer was published or that it could not be decoded; valid is false in the
 // second case. The published configuration was the newest at the time asked. While the
 // newest one cannot be decoded, nothing proves that the one in force is the newest; nor
-// does a store that was just restored from a copy. From names the source of the table. It
-// runs in the control goroutine.
+// does a store that was just restored from a backup. From names the source of the table. It
+// runs in the control loop.
 func (s *Server) applyTable(t *ingress.Table, valid bool, asked time.Time, from string) {
 	view := *s.view.Load()
 	if !s.restoreWindow.proves(asked) {
@@ -58,7 +58,7 @@
 }
 
 // recordProof records that the configuration in force was the newest at the given time,
-// and passes that on to followers at once. It runs in the control goroutine.
+// and passes that on to followers at once. It runs in the control loop.
 func (s *Server) recordProof(view ingress.View, at time.Time) {
 	next := view.WithProof(at)
 	s.view.Store(&next)
@@ -68,7 +68,7 @@
 }
 
 // replaceRoster applies a full list of upstreams and of evacuated availability zones. It
-// runs in the control goroutine.
+// runs in the control loop.
 func (s *Server) replaceRoster(now time.Time, c platform.Changes) {
 	before := s.roster.Evacuated()
 	s.roster.Drop(c.Invalid)
@@ -79,7 +79,7 @@
 }
 
 // changeRoster applies added, changed and removed upstreams, and evacuations of
-// availability zones that began or ended. It runs in the control goroutine.
+// availability zones that began or ended. It runs in the control loop.
 func (s *Server) changeRoster(now time.Time, c platform.Changes) {
 	before := s.roster.Evacuated()
 	s.roster.Drop(c.Invalid)
@@ -101,7 +101,7 @@
 	}
 }
 
-// applyRoster puts the list of upstreams into force. It runs in the control goroutine.
+// applyRoster puts the list of upstreams into force. It runs in the control loop.
 func (s *Server) applyRoster(now time.Time) {
 	list := s.roster.Current(now)
 	changes := s.table.SetInstances(now, list)
@@ -117,8 +117,8 @@
 }
 
 // publishUpstreams makes the list, and what upstreams reported about themselves, visible
-// to requests and metrics. No connections to leaving upstreams are kept. It runs in the
-// control goroutine.
+// to requests and metrics. No idle connections to leaving upstreams are kept. It runs in
+// the control loop.
 func (s *Server) publishUpstreams(now time.Time, list []balance.Instance) {
 	addresses := make(map[string]bool, len(list))
 	for _, in := range list {
@@ -131,7 +131,7 @@
 }
 
 // publishClosed makes the reports of upstreams about themselves visible to requests. It
-// runs in the control goroutine.
+// runs in the control loop.
 func (s *Server) publishClosed(now time.Time) {
 	closed := s.table.Closed(now)
 	s.closed.Store(&closed)
@@ -140,7 +140,7 @@
 
 // scheduleExpiry applies the list again when the first retained entry expires. Such
 // entries are removed without a message from the store, and must not stay longer. It runs
-// in the control goroutine.
+// in the control loop.
 func (s *Server) scheduleExpiry(now time.Time) {
 	if s.expiryTimer != nil {
 		s.expiryTimer.Stop()
--- a/internal/edge/gatewayd/attempt.go
+++ b/internal/edge/gatewayd/attempt.go
@@ -54,7 +54,7 @@
 
 // maySend is checked immediately before the first byte is written. While the connection was
 // being established, the upstream may have announced to other requests that it is leaving,
-// that gateways should back off, or a rate limit of which this request has no turn.
+// that gateways should back off, or a rate limit under which this request has no turn.
 func (x *request) maySend(choice balance.Choice) bool {
 	closed := *x.server.closed.Load()
 	if len(closed) == 0 {
@@ -77,7 +77,7 @@
 	return x.call.ID == "" || a.ID == x.call.ID || (a.ID == "" && !a.Sealed)
 }
 
-// finishAttempt records the outcome of the attempt in the control goroutine.
+// finishAttempt records the outcome of the attempt in the control loop.
 func (x *request) finishAttempt(choice balance.Choice, o balance.Outcome, load *balance.Load) {
 	tokens := 0
 	if p, ok := x.view.Table.Pool(x.admission.Pool); ok && p.Engine != nil {
@@ -87,7 +87,7 @@
 	survived := x.survived(o)
 	if survived {
 		// Computed here because hashing takes several microseconds, which would block the
-		// control goroutine.
+		// control loop.
 		x.fingerprint()
 	}
 	x.server.control.DoWithoutCancel(func(now time.Time) {
--- a/internal/edge/gatewayd/bounds.go
+++ b/internal/edge/gatewayd/bounds.go
@@ -61,10 +61,10 @@
 
 // budgetBounds returns the ratio, the reserve and the window of this gateway's share of
 // the retry budget of a pool.
-func budgetBounds(b platform.Bounds, gateways int) (share, reserve float64, span time.Duration) {
-	span = b.RetryWindow
-	if span <= 0 {
-		span = defaultRetryWindow
+func budgetBounds(b platform.Bounds, gateways int) (ratio, reserve float64, window time.Duration) {
+	window = b.RetryWindow
+	if window <= 0 {
+		window = defaultRetryWindow
 	}
-	return retryMargin * b.RetryShare, retryMargin * b.RetryReserve / float64(gateways), span
+	return retryMargin * b.RetryShare, retryMargin * b.RetryReserve / float64(gateways), window
 }
--- a/internal/edge/gatewayd/crash_test.go
+++ b/internal/edge/gatewayd/crash_test.go
@@ -58,7 +58,7 @@
 	return w
 }
 
-// send sends a request with a new identity to one of the gateways.
+// send sends a request with a new ID to one of the gateways.
 func (w *crashEnv) send(gateway int, uri, body string) standin.Answer {
 	w.calls++
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -103,11 +103,11 @@
 	})
 }
 
-// A request crashed each engine that began to run it, and its caller repeated it with new
-// identities and at any gateway: 18 engines of a pool of twelve crashed under one request,
-// eleven of them after the third crash. Gateways recognised requests by identity only,
-// forgot them when they ended, and did not tell each other which requests a crash took
-// with it. At each crash one request of any gateway had logged "stream broken after 0
+// A request crashed each engine that began to run it, and its caller repeated it with new IDs
+// and at any gateway: 18 engines of a pool of twelve crashed under one request, eleven of them
+// after the third crash. Gateways recognised requests by ID only, forgot them when they ended,
+// and did not report to each other which requests an engine ran when it crashed. At each crash
+// one request of any gateway had logged "stream broken after 0
 // events: unexpected EOF" and sent 1.
 func TestRequestThatCrashesUpstreams(t *testing.T) {
 	w := newCrashEnv(t, 14)
@@ -119,7 +119,7 @@
 }
 
 // At every gateway the caller of a blocked request gets an error that ordinary clients
-// do not retry, and no time to come back. Other requests are not affected, and the logs
+// do not retry, and no time after which to retry. Other requests are not affected, and the logs
 // of the gateways name the blocked one.
 func TestBlockedRequest(t *testing.T) {
 	w := newCrashEnv(t, 8)
--- a/internal/edge/gatewayd/feed.go
+++ b/internal/edge/gatewayd/feed.go
@@ -54,7 +54,7 @@
 
 // shouldAnswer reports whether the follower must receive the answer at once: it contains
 // new entries or a much newer proof, or this gateway has lost the store in the meantime.
-// It runs in the control goroutine.
+// It runs in the control loop.
 func (s *Server) shouldAnswer(began time.Time, req *gladegaugev1.FollowRequest, resp *gladegaugev1.FollowResponse) bool {
 	if len(resp.GetEntries()) > 0 || s.ownStoreFailedAt.After(began) {
 		return true
@@ -68,7 +68,7 @@
 
 // updateFor returns what a follower at the position does not know; nil if this gateway
 // knows nothing of the store. The channel is closed at the next change. It runs in the
-// control goroutine.
+// control loop.
 func (s *Server) updateFor(now, began time.Time, known feed.Position) (*gladegaugev1.FollowResponse, <-chan struct{}) {
 	batch, ok := s.feed.Since(known)
 	if !ok {
@@ -99,7 +99,7 @@
 	return resp, s.feedChanged
 }
 
-// wakeFollowers wakes the held queries of followers. It runs in the control goroutine.
+// wakeFollowers wakes the held queries of followers. It runs in the control loop.
 func (s *Server) wakeFollowers() {
 	close(s.feedChanged)
 	s.feedChanged = make(chan struct{})
--- a/internal/edge/gatewayd/follow.go
+++ b/internal/edge/gatewayd/follow.go
@@ -74,14 +74,14 @@
 			f.staleSince = now
 			f.withStoreState(f.server.log.Info()).Msg("view: stale, no longer waiting for other gateways")
 		}
-		q = f.reader.Next(now, v, b, f.server.fleet, rand.Uint64()) //nolint:gosec // Any one will do.
+		q = f.reader.Next(now, v, b, f.server.fleet, rand.Uint64()) //nolint:gosec // Jitter needs no secret randomness.
 	})
 	return q
 }
 
 // view describes the known state of the store. What was read counts as new even while the
 // newest configuration cannot be decoded, so that nothing proves the one in force. It runs
-// in the control goroutine.
+// in the control loop.
 func (f *follower) view(now time.Time) reader.View {
 	v := f.server.view.Load()
 	return reader.View{Known: f.position.Known(), InForce: v.Table != nil, Age: min(v.Age(now), now.Sub(f.server.storeReadAt))}
@@ -110,7 +110,7 @@
 }
 
 // recordRead records that the known state is complete as of the given time. It runs in the
-// control goroutine.
+// control loop.
 func (s *Server) recordRead(at time.Time) {
 	if at.After(s.storeReadAt) {
 		s.storeReadAt = at
@@ -134,7 +134,7 @@
 	}
 	f.handleSuccess()
 	if f.consistency == platform.Stale && all.Position.Epoch > 0 {
-		// The store was restored from a copy, possibly after the state that this listing
+		// The store was restored from a backup, possibly after the state that this listing
 		// shows. What follows its revision may then belong to another history.
 		f.consistency = platform.Newest
 		return
--- a/internal/edge/gatewayd/lend.go
+++ b/internal/edge/gatewayd/lend.go
@@ -20,15 +20,15 @@
 // upstream.
 func (x *request) borrow() (balance.Choice, bool) {
 	s := x.server
-	var loans []balance.BorrowCandidate
-	s.control.DoWithoutCancel(func(now time.Time) { loans = s.table.Borrowable(now, x.balanceRequest()) })
-	for _, l := range loans {
+	var candidates []balance.BorrowCandidate
+	s.control.DoWithoutCancel(func(now time.Time) { candidates = s.table.Borrowable(now, x.balanceRequest()) })
+	for _, c := range candidates {
 		if x.remaining() <= borrowTimeout {
 			break
 		}
-		granted, err := x.borrowFrom(l)
+		granted, err := x.borrowFrom(c)
 		if err != nil {
-			x.log().Err(err).Str("upstream", l.ID).Msg("could not borrow a turn")
+			x.log().Err(err).Str("upstream", c.ID).Msg("could not borrow a turn")
 			break
 		}
 		if !granted {
@@ -36,7 +36,7 @@
 		}
 		var choice balance.Choice
 		var ok bool
-		s.control.DoWithoutCancel(func(now time.Time) { choice, ok = s.table.PickBorrowed(now, x.balanceRequest(), l.Instance) })
+		s.control.DoWithoutCancel(func(now time.Time) { choice, ok = s.table.PickBorrowed(now, x.balanceRequest(), c.Instance) })
 		if ok {
 			return choice, true
 		}
@@ -46,18 +46,18 @@
 
 // borrowFrom reports whether a holder lends a turn of the upstream. The error is that of
 // the call.
-func (x *request) borrowFrom(l balance.BorrowCandidate) (bool, error) {
+func (x *request) borrowFrom(c balance.BorrowCandidate) (bool, error) {
 	s := x.server
 	var holder string
 	var ok bool
-	//nolint:gosec // Any holder will do.
-	s.control.DoWithoutCancel(func(now time.Time) { holder, ok = s.fleet.Holder(now, l.Key, l.Holders, rand.Uint64()) })
+	//nolint:gosec // The choice needs no secret randomness.
+	s.control.DoWithoutCancel(func(now time.Time) { holder, ok = s.fleet.Holder(now, c.Key, c.Holders, rand.Uint64()) })
 	if !ok {
 		return false, nil
 	}
 	ctx, cancel := context.WithTimeout(x.r.Context(), borrowTimeout)
 	defer cancel()
-	req := &gladegaugev1.BorrowTurnRequest{Upstream: l.IncarnationKey(), Least: x.balanceRequest().Least}
+	req := &gladegaugev1.BorrowTurnRequest{Upstream: c.IncarnationKey(), Least: x.balanceRequest().Least}
 	resp, err := s.peer(holder).BorrowTurn(ctx, connect.NewRequest(req))
 	s.metrics.peerCall("borrow_turn", err)
 	if err != nil {
@@ -65,7 +65,7 @@
 	}
 	if !resp.Msg.GetGranted() {
 		wait := time.Duration(resp.Msg.GetWaitMs()) * time.Millisecond
-		s.control.DoWithoutCancel(func(now time.Time) { s.table.BorrowRefused(now, l.Instance, wait) })
+		s.control.DoWithoutCancel(func(now time.Time) { s.table.BorrowRefused(now, c.Instance, wait) })
 	}
 	return resp.Msg.GetGranted(), nil
 }
--- a/internal/edge/gatewayd/limit_test.go
+++ b/internal/edge/gatewayd/limit_test.go
@@ -124,7 +124,7 @@
 	is.True(strings.Contains(w.logs.String(), `"failure":"withheld"`))
 }
 
-// Gateways tell each other of a limit: one that has sent nothing keeps it, and counts it.
+// Gateways report a limit to each other: one that has sent nothing keeps it, and counts it.
 func TestLimitReachesOtherGateways(t *testing.T) {
 	w := &testEnv{t: t, is: is.New(t), store: standin.NewStore(t)}
 	w.store.PutConfig(configuration(1))
--- a/internal/edge/gatewayd/load_messages.go
+++ b/internal/edge/gatewayd/load_messages.go
@@ -64,7 +64,7 @@
 	return loads
 }
 
-// encodeParts converts parts to their message.
+// encodeParts converts reports on cached prompt parts to their message.
 func encodeParts(parts []occupancy.Part) []*gladegaugev1.KeptPart {
 	list := make([]*gladegaugev1.KeptPart, len(parts))
 	for i, p := range parts {
@@ -73,7 +73,7 @@
 	return list
 }
 
-// decodeParts returns the parts in a message.
+// decodeParts returns the reports on cached prompt parts in a message.
 func decodeParts(list []*gladegaugev1.KeptPart) []occupancy.Part {
 	parts := make([]occupancy.Part, len(list))
 	for i, p := range list {
--- a/internal/edge/gatewayd/loads.go
+++ b/internal/edge/gatewayd/loads.go
@@ -120,7 +120,7 @@
 }
 
 // applyRelayAnswer applies the answer of another relay as the report of the availability
-// zone. It runs in the control goroutine.
+// zone. It runs in the control loop.
 func (s *Server) applyRelayAnswer(now time.Time, address, zone string, resp *gladegaugev1.TellLoadsResponse) {
 	s.occupancy.RecordZone(now, zone, decodeLoads(resp.GetLoads()))
 	s.applyZoneParts(now, decodeParts(resp.GetParts()))
@@ -129,7 +129,7 @@
 }
 
 // applyZoneParts applies the parts that another availability zone reported, and passes
-// them on. It runs in the control goroutine.
+// them on. It runs in the control loop.
 func (s *Server) applyZoneParts(now time.Time, parts []occupancy.Part) {
 	s.table.AddPeerParts(now, parts)
 	s.partLog.Add("", parts)
@@ -149,7 +149,7 @@
 }
 
 // applyOthers makes the load of other gateways available to the selection of upstreams. It
-// runs in the control goroutine.
+// runs in the control loop.
 func (s *Server) applyOthers(now time.Time, relay bool) {
 	if loads, ok := s.occupancy.Others(now, relay); ok {
 		changes := s.table.SetPeerLoads(now, balance.PeerLoads{
@@ -178,7 +178,7 @@
 
 // recordOwn adds the load of this gateway to the sums. A relay receives reports more often
 // than that load changes much, so that it is updated at most once per BaseInterval.
-// It runs in the control goroutine.
+// It runs in the control loop.
 func (s *Server) recordOwn(now time.Time) {
 	if now.Sub(s.ownLoadAt) >= occupancy.BaseInterval {
 		s.ownLoadAt = now
--- a/internal/edge/gatewayd/metrics.go
+++ b/internal/edge/gatewayd/metrics.go
@@ -10,9 +10,9 @@
 	"github.com/gladegauge/gladegauge/internal/edge/metrics"
 )
 
-// family is the metric family of the gateway. Its buckets are in seconds, from a short
-// call to a long stream.
-var family = metrics.Factory{
+// factory creates the metrics of the gateway. Its buckets are in seconds, from a short call
+// to a long stream.
+var factory = metrics.Factory{
 	Namespace: "gladegauge_gateway",
 	Buckets:   []float64{0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2, 4, 8, 16},
 }
@@ -58,39 +58,39 @@
 func newServerMetrics(logsDropped, viewAge func() uint64) *serverMetrics {
 	m := &serverMetrics{
 		registry:    prometheus.NewRegistry(),
-		requests:    family.Counters("requests_total", "Requests by kind and result.", "kind", "result"),
-		refusals:    family.Counters("refusals_total", "Requests refused by the gateway, by reason.", "reason"),
-		attempts:    family.Counters("attempts_total", "Attempts at upstreams by outcome.", "outcome"),
-		storeCalls:  family.Counters("store_calls_total", "Calls to the platform's store by kind and result.", "call", "result"),
-		inTime:      family.Counters("in_time_total", "Answers whose first byte came within the route's target, by kind.", "kind"),
-		firstByte:   family.Histograms("first_byte_seconds", "Time to the first event or to the answer's head.", "kind"),
-		completion:  family.Histograms("completion_seconds", "Time to the complete answer.", "kind"),
-		connections: family.Counter("connections_total", "Connections opened to upstreams."),
-		resumes:     family.Counter("resumes_total", "Streams resumed by another upstream."),
-		continues:   family.Counter("continues_total", "Streams continued from a backup of their run's memory."),
-		faults:      family.Counter("store_faults_total", "Published values that could not be read."),
-		version:     family.Gauge("configuration_version", "Version of the configuration in force."),
-		epoch:       family.Gauge("store_epoch", "Epoch of the store, which rises when it is restored from a copy."),
-		revision:    family.Gauge("store_revision", "Revision of the store, in its epoch, up to which everything is known."),
-		upstreams:   family.Gauge("upstreams", "Upstreams on the list."),
-		zoneAttempts: family.Counters("zone_attempts_total", "Attempts by availability zone of the upstream and outcome.",
+		requests:    factory.Counters("requests_total", "Requests by kind and result.", "kind", "result"),
+		refusals:    factory.Counters("refusals_total", "Requests refused by the gateway, by reason.", "reason"),
+		attempts:    factory.Counters("attempts_total", "Attempts at upstreams by outcome.", "outcome"),
+		storeCalls:  factory.Counters("store_calls_total", "Calls to the platform's store by kind and result.", "call", "result"),
+		inTime:      factory.Counters("in_time_total", "Answers whose first byte came within the route's target, by kind.", "kind"),
+		firstByte:   factory.Histograms("first_byte_seconds", "Time to the first event or to the answer's head.", "kind"),
+		completion:  factory.Histograms("completion_seconds", "Time to the complete answer.", "kind"),
+		connections: factory.Counter("connections_total", "Connections opened to upstreams."),
+		resumes:     factory.Counter("resumes_total", "Streams resumed by another upstream."),
+		continues:   factory.Counter("continues_total", "Streams continued from a backup of their run's memory."),
+		faults:      factory.Counter("store_faults_total", "Published values that could not be read."),
+		version:     factory.Gauge("configuration_version", "Version of the configuration in force."),
+		epoch:       factory.Gauge("store_epoch", "Epoch of the store, which rises when it is restored from a copy."),
+		revision:    factory.Gauge("store_revision", "Revision of the store, in its epoch, up to which everything is known."),
+		upstreams:   factory.Gauge("upstreams", "Upstreams on the list."),
+		zoneAttempts: factory.Counters("zone_attempts_total", "Attempts by availability zone of the upstream and outcome.",
 			"zone", "outcome"),
-		zoneUpstreams: family.Gauges("zone_upstreams", "Upstreams on the list by availability zone and state.", "zone", "state"),
-		peerCalls:     family.Counters("peer_calls_total", "Calls to other gateways by kind and result.", "call", "result"),
-		peerBytes:     family.Counters("peer_bytes_total", "Bytes of the bodies of calls to other gateways, by kind and direction.", "call", "direction"),
-		gateways:      family.Gauge("gateways", "Gateways that share the retry budget."),
-		notices:       family.Counters("upstream_notices_total", "Notices of upstreams about themselves in answers, by kind.", "kind"),
-		retriesDenied: family.Counter("retries_denied_total", "Attempts not made because this gateway's share of the retry budget was used up."),
-		limited:       family.Gauge("upstreams_limited", "Upstreams that announced a limit of requests per second."),
-		suspects:      family.Gauges("suspects", "Requests suspected of crashing upstreams, by verdict.", "verdict"),
-		ends:          family.Counter("upstream_ends_total", "Listed upstreams that were found to have ended."),
+		zoneUpstreams: factory.Gauges("zone_upstreams", "Upstreams on the list by availability zone and state.", "zone", "state"),
+		peerCalls:     factory.Counters("peer_calls_total", "Calls to other gateways by kind and result.", "call", "result"),
+		peerBytes:     factory.Counters("peer_bytes_total", "Bytes of the bodies of calls to other gateways, by kind and direction.", "call", "direction"),
+		gateways:      factory.Gauge("gateways", "Gateways that share the retry budget."),
+		notices:       factory.Counters("upstream_notices_total", "Notices of upstreams about themselves in answers, by kind.", "kind"),
+		retriesDenied: factory.Counter("retries_denied_total", "Attempts not made because this gateway's share of the retry budget was used up."),
+		limited:       factory.Gauge("upstreams_limited", "Upstreams that announced a limit of requests per second."),
+		suspects:      factory.Gauges("suspects", "Requests suspected of crashing upstreams, by verdict.", "verdict"),
+		ends:          factory.Counter("upstream_ends_total", "Listed upstreams that were found to have ended."),
 	}
 	m.registry.MustRegister(m.requests, m.refusals, m.attempts, m.storeCalls, m.inTime, m.firstByte,
 		m.completion, m.connections, m.resumes, m.continues, m.faults, m.version, m.epoch, m.revision, m.upstreams, m.peerCalls, m.peerBytes, m.gateways,
 		m.zoneAttempts, m.zoneUpstreams, m.ends, m.notices, m.retriesDenied, m.limited, m.suspects)
-	m.registry.MustRegister(family.GaugeOf("view_age_milliseconds", "Time since the configuration in force was proved to be the newest.", viewAge))
+	m.registry.MustRegister(factory.GaugeOf("view_age_milliseconds", "Time since the configuration in force was proved to be the newest.", viewAge))
 	if logsDropped != nil {
-		m.registry.MustRegister(family.CounterOf("log_lines_dropped_total", "Log lines that did not fit the buffer.", logsDropped))
+		m.registry.MustRegister(factory.CounterOf("log_lines_dropped_total", "Log lines that did not fit the buffer.", logsDropped))
 	}
 	return m
 }
--- a/internal/edge/gatewayd/notice.go
+++ b/internal/edge/gatewayd/notice.go
@@ -16,8 +16,8 @@
 	noticeBackoff  = "rest"
 	noticeLimit    = "limit"
 	noticeUnparsed = "unread"
-	// noticeUnknownStart is for notices that name no listed incarnation.
-	noticeUnknownStart = "nobody"
+	// noticeUnknownIncarnation is for notices that name no listed incarnation.
+	noticeUnknownIncarnation = "nobody"
 )
 
 // maxLoggedText is the number of bytes of an unparsable notice that are logged.
@@ -52,7 +52,7 @@
 			Str("address", choice.Address).Int("status", r.StatusCode)
 	}
 	if result.Sender.ID == "" && n.Any() {
-		line(noticeUnknownStart).Str("sent_to", choice.ID).Str("named", n.Sender).Msg("notice from an incarnation that is not listed")
+		line(noticeUnknownIncarnation).Str("sent_to", choice.ID).Str("named", n.Sender).Msg("notice from an incarnation that is not listed")
 	}
 	if result.NewlyLeaving {
 		line(noticeLeaving).Msg("upstream announced that it is leaving")
--- a/internal/edge/gatewayd/outage.go
+++ b/internal/edge/gatewayd/outage.go
@@ -10,7 +10,7 @@
 
 // storeFailed records that the store did not answer this gateway. The gateway then avoids
 // the store for a while, and its followers learn of that at once. It runs in the control
-// goroutine.
+// loop.
 func (s *Server) storeFailed(now time.Time) {
 	s.fleet.StoreFailed(now)
 	s.ownStoreFailedAt = now
@@ -20,7 +20,7 @@
 
 // storeAnswered records that the store answered this gateway. If a call of this or of
 // another gateway has failed since the state was last proved, entries may have expired in
-// the meantime. It runs in the control goroutine.
+// the meantime. It runs in the control loop.
 func (s *Server) storeAnswered(now time.Time) {
 	s.fleet.StoreAnswered()
 	view := s.view.Load()
@@ -30,7 +30,7 @@
 }
 
 // recordPeerStoreState records what another gateway reports of its calls to the store. It
-// runs in the control goroutine.
+// runs in the control loop.
 func (s *Server) recordPeerStoreState(now time.Time, address string, resp *gladegaugev1.FollowResponse) {
 	if ms := resp.GetBackoffMs(); ms > 0 {
 		s.fleet.SetPeerBackoff(now, address, time.Duration(ms)*time.Millisecond)
--- a/internal/edge/gatewayd/peers.go
+++ b/internal/edge/gatewayd/peers.go
@@ -82,7 +82,7 @@
 	var address string
 	var ok bool
 	s.control.DoWithoutCancel(func(now time.Time) {
-		address, ok = s.fleet.ExchangePeer(now, rand.Uint64(), s.o.Settings.Seeds) //nolint:gosec // Any one will do.
+		address, ok = s.fleet.ExchangePeer(now, rand.Uint64(), s.o.Settings.Seeds) //nolint:gosec // The choice needs no secret randomness.
 	})
 	return address, ok
 }
@@ -113,7 +113,7 @@
 }
 
 // sampleMembers returns the members for the next message to a gateway that knows the given
-// number of gateways. It runs in the control goroutine.
+// number of gateways. It runs in the control loop.
 func (s *Server) sampleMembers(now time.Time, known int) []*gladegaugev1.GatewayMember {
 	members := s.fleet.Sample(now, known, rand.Uint64()) //nolint:gosec // A sample needs no secret randomness.
 	list := make([]*gladegaugev1.GatewayMember, len(members))
@@ -124,7 +124,7 @@
 }
 
 // merge applies the members that another gateway knows, and adapts the retry budgets to
-// the size of the fleet. It runs in the control goroutine.
+// the size of the fleet. It runs in the control loop.
 func (s *Server) merge(now time.Time, list []*gladegaugev1.GatewayMember) {
 	members := make([]fleet.Member, len(list))
 	for i, m := range list {
@@ -134,7 +134,7 @@
 	s.setGateways(s.fleet.Size(now))
 }
 
-// setGateways divides the retry budget among n gateways. It runs in the control goroutine.
+// setGateways divides the retry budget among n gateways. It runs in the control loop.
 func (s *Server) setGateways(n int) {
 	if n == s.gateways {
 		return
@@ -157,7 +157,7 @@
 }
 
 // budget returns the retry budget of the pool, which it creates if necessary. It runs in
-// the control goroutine.
+// the control loop.
 func (s *Server) budget(pool string) *retry.Window {
 	w, ok := s.budgets[pool]
 	if !ok {
@@ -167,7 +167,7 @@
 	return w
 }
 
-// updateBudgets applies new bounds to the retry budgets. It runs in the control goroutine.
+// updateBudgets applies new bounds to the retry budgets. It runs in the control loop.
 func (s *Server) updateBudgets() {
 	for pool, w := range s.budgets {
 		s.budgets[pool] = w.With(budgetBounds(s.operatorBounds, s.gateways))
--- a/internal/edge/gatewayd/pick.go
+++ b/internal/edge/gatewayd/pick.go
@@ -24,7 +24,7 @@
 	return x.recordChoice(choice, ok)
 }
 
-// pickBackup chooses the engine that holds a copy of the run's KV cache.
+// pickBackup chooses the engine that holds a backup of the run's KV cache.
 func (x *request) pickBackup() (balance.Choice, bool) {
 	var choice balance.Choice
 	var ok bool
--- a/internal/edge/gatewayd/request.go
+++ b/internal/edge/gatewayd/request.go
@@ -39,10 +39,10 @@
 	startedAt time.Time
 	// tried are the IDs of the upstreams picked so far.
 	tried []string
-	// backup is the engine that holds a copy of the run's KV cache; the zero value means
+	// backup is the engine that holds a backup of the run's KV cache; the zero value means
 	// none.
 	backup balance.Backup
-	// continuing is true once the run is resumed from its copy.
+	// continuing is true once the run is resumed from its backup.
 	continuing bool
 	// lastEventID is the ID of the last stream event sent to the caller.
 	lastEventID string
--- a/internal/edge/gatewayd/resources.go
+++ b/internal/edge/gatewayd/resources.go
@@ -23,7 +23,7 @@
 
 // logResources logs the memory and CPU time of the process in bytes and seconds, the bytes
 // of its calls to other gateways by kind, and the number of log lines dropped since the
-// start. It runs in the control goroutine.
+// start. It runs in the control loop.
 func (s *Server) logResources(time.Time) {
 	var dropped uint64
 	if s.o.LogsDropped != nil {
--- a/internal/edge/gatewayd/restore.go
+++ b/internal/edge/gatewayd/restore.go
@@ -8,11 +8,11 @@
 	"github.com/gladegauge/gladegauge/platform"
 )
 
-// restoreWindowLength is how long after a restore from a copy the state of the store may
+// restoreWindowLength is how long after a restore from a backup the state of the store may
 // not be the newest yet. Lost writes are repeated within about two seconds.
 const restoreWindowLength = 2200 * time.Millisecond
 
-// restoreWindow is the time after a restore of the store from a copy in which the absence
+// restoreWindow is the time after a restore of the store from a backup in which the absence
 // of changes does not prove that the configuration in force is the newest.
 type restoreWindow struct {
 	// from is the latest time at which the store was not yet restored.
@@ -23,7 +23,7 @@
 func (w restoreWindow) proves(at time.Time) bool { return !at.After(w.from) || !at.Before(w.until) }
 
 // applySnapshot applies the full state at the position, from the store or from another
-// gateway. It runs in the control goroutine.
+// gateway. It runs in the control loop.
 func (s *Server) applySnapshot(now time.Time, p feed.Position, c platform.Changes) {
 	before := s.feed.Position()
 	s.addToFeed(p, c.Entries, true)
@@ -34,8 +34,8 @@
 	s.replaceRoster(now, c)
 }
 
-// restoreRoster applies the list of a store that was restored from a copy. It runs in the
-// control goroutine.
+// restoreRoster applies the list of a store that was restored from a backup. It runs in the
+// control loop.
 func (s *Server) restoreRoster(now time.Time, before, p feed.Position, c platform.Changes) {
 	after := s.storeFailedAt
 	if proved := s.view.Load().NewestAt; proved.After(after) {
@@ -59,8 +59,8 @@
 type storedConfig struct{ version, revision int64 }
 
 // recordWatchedConfig records a configuration that was written while the store was
-// watched. It is the operators' newest one even if the store was restored from a copy
-// before. It runs in the control goroutine.
+// watched. It is the operators' newest one even if the store was restored from a backup
+// before. It runs in the control loop.
 func (s *Server) recordWatchedConfig(c platform.Changes) {
 	if c.Table == nil {
 		return
@@ -70,7 +70,7 @@
 }
 
 // recordListedConfig records the configuration of a listing. If it is at another revision
-// than before, it was written after the restore. It runs in the control goroutine.
+// than before, it was written after the restore. It runs in the control loop.
 func (s *Server) recordListedConfig(c platform.Changes) {
 	if c.Table == nil {
 		return
--- a/internal/edge/gatewayd/restore_test.go
+++ b/internal/edge/gatewayd/restore_test.go
@@ -52,7 +52,7 @@
 	return w, all
 }
 
-// A store that is restored from a copy issues its revisions again. Followers that knew a
+// A store that is restored from a backup issues its revisions again. Followers that knew a
 // higher revision did not learn that an upstream was leaving; only the gateway that read
 // the store did.
 func TestFollowersLearnWritesAfterRestore(t *testing.T) {
@@ -106,7 +106,7 @@
 	return epoch
 }
 
-// Upstreams that are leaving or removed are not revived by a restored copy of the store.
+// Upstreams that are leaving or removed are not revived by a restored backup of the store.
 func TestRestoreRevivesNoUpstream(t *testing.T) {
 	w := newTestEnv(t, 3, nil)
 	w.store.Backup()
--- a/internal/edge/gatewayd/server.go
+++ b/internal/edge/gatewayd/server.go
@@ -88,7 +88,7 @@
 	// stoppingAt is when the planned shutdown began; nil before it.
 	stoppingAt atomic.Pointer[time.Time]
 
-	// The fields below are used only in the control goroutine.
+	// The fields below are used only in the control loop.
 	table  *balance.Table
 	roster *roster.Roster
 	// expiryTimer fires when the first retained entry expires; nil if there is none.
@@ -114,7 +114,7 @@
 	lost     []suspects.Failure
 	feed     *feed.Feed
 	// storedConfig is the configuration that was last read from the store itself, and
-	// restoreWindow the time in which a store that was restored from a copy proves
+	// restoreWindow the time in which the absence of changes in a restored store proves
 	// nothing.
 	storedConfig  storedConfig
 	restoreWindow restoreWindow
@@ -181,7 +181,7 @@
 	if listeners == nil {
 		return errors.AssertionFailedf("Run called before Listen")
 	}
-	//nolint:gosec // The number only tells starts apart.
+	//nolint:gosec // The number only distinguishes restarts.
 	s.suspects = suspects.New(suspect.NewRegistry(s.addressHash(), rand.Uint64()), s.log)
 	//nolint:gosec // Jitter needs no secret randomness.
 	s.fleet.Started(s.now(), s.o.Settings.Seeds, s.o.Settings.FirstStart, rand.Uint64())
@@ -209,10 +209,10 @@
 }
 
 // holds reports whether this gateway is one of the first n in rendezvous order for the
-// key. It runs in the control goroutine.
+// key. It runs in the control loop.
 func (s *Server) holds(now time.Time, key uint64, n int) bool { return s.fleet.Holds(now, key, n) }
 
-// sweep removes state that is no longer used. It runs in the control goroutine.
+// sweep removes state that is no longer used. It runs in the control loop.
 func (s *Server) sweep(now time.Time) {
 	s.suspects.Sweep(now, s.metrics.suspects)
 	s.table.ExpireParts(now)
--- a/internal/edge/gatewayd/source.go
+++ b/internal/edge/gatewayd/source.go
@@ -61,7 +61,7 @@
 
 // applyPeerAnswer applies the state of another gateway. The answer was made at the time of
 // the query plus the time it was held, or later, so that no network delay makes its proof
-// look younger. A gateway that has not learned yet that the store was restored from a copy
+// look younger. A gateway that has not learned yet that the store was restored from a backup
 // has nothing new, and its proof is ignored: this gateway would otherwise wait for it.
 func (f *follower) applyPeerAnswer(asked time.Time, from string, resp *gladegaugev1.FollowResponse) {
 	position := positionOf(resp)
@@ -89,7 +89,7 @@
 }
 
 // applyEntries applies the entries of another gateway's answer and passes them on to
-// followers. It runs in the control goroutine.
+// followers. It runs in the control loop.
 func (s *Server) applyEntries(now time.Time, p feed.Position, c platform.Changes, whole bool) {
 	if len(c.Entries) == 0 && !whole {
 		return
@@ -103,7 +103,7 @@
 }
 
 // applyPeerProof applies another gateway's proof that its version was the newest at that
-// time. It proves nothing about other versions. It runs in the control goroutine.
+// time. It proves nothing about other versions. It runs in the control loop.
 func (s *Server) applyPeerProof(version int64, proof time.Time) {
 	view := *s.view.Load()
 	if view.Table == nil || view.Table.Version != version || s.configUnreadable {
@@ -112,7 +112,7 @@
 	s.recordProof(view, proof)
 }
 
-// addToFeed passes the entries on to the followers. It runs in the control goroutine.
+// addToFeed passes the entries on to the followers. It runs in the control loop.
 func (s *Server) addToFeed(p feed.Position, entries []feed.Entry, whole bool) {
 	if whole {
 		s.feed.Replace(p, entries)
--- a/internal/edge/gatewayd/state_test.go
+++ b/internal/edge/gatewayd/state_test.go
@@ -38,10 +38,10 @@
 
 // A gateway without a configuration is not ready, and becomes ready once the store works.
 func TestStartWithoutStore(t *testing.T) {
-	for _, trouble := range []standin.StoreFault{standin.Unavailable, standin.RateLimited, standin.Disconnect, standin.InvalidJSON} {
+	for _, fault := range []standin.StoreFault{standin.Unavailable, standin.RateLimited, standin.Disconnect, standin.InvalidJSON} {
 		w := &testEnv{t: t, is: is.New(t), store: standin.NewStore(t)}
 		w.store.PutConfig(configuration(1))
-		w.store.SetFault(trouble)
+		w.store.SetFault(fault)
 		w.start(testBounds())
 		w.is.Equal(w.readiness(), 503)
 		w.store.SetFault(standin.NoFault)
--- a/internal/edge/gatewayd/stream.go
+++ b/internal/edge/gatewayd/stream.go
@@ -13,8 +13,8 @@
 	"github.com/gladegauge/gladegauge/internal/core/gateway"
 )
 
-// heardInterval is how often a running stream reports that its upstream is alive.
-const heardInterval = 200 * time.Millisecond
+// aliveInterval is how often a running stream reports that its upstream is alive.
+const aliveInterval = 200 * time.Millisecond
 
 // relayStream forwards whole events as they arrive; partial events are never forwarded. After
 // a failover, events that the caller already has are dropped, whatever event the next upstream
@@ -54,7 +54,7 @@
 			x.longestGap = max(x.longestGap, now.Sub(lastAt))
 			lastAt = now
 		}
-		if now.Sub(reportedAt) >= heardInterval {
+		if now.Sub(reportedAt) >= aliveInterval {
 			reportedAt = now
 			reported := gaps
 			gaps = balance.Gaps{}
--- a/internal/edge/gatewayd/suspects.go
+++ b/internal/edge/gatewayd/suspects.go
@@ -108,19 +108,19 @@
 }
 
 // recordUpstreamEnd records that an instance of an upstream has ended, and which requests
-// of this gateway it was running. It runs in the control goroutine.
+// of this gateway it was running. It runs in the control loop.
 func (s *Server) recordUpstreamEnd(now time.Time, in balance.Instance, o balance.Outcome) {
 	if !s.table.IsGone(now, in) {
 		s.metrics.ends.Inc()
 		s.log.Warn().Str("upstream", in.ID).Str("address", in.Address).Str("zone", in.Zone).Str("pool", in.Pool).
 			Stringer("outcome", o).Msg("upstream has ended")
 	}
-	start := in.IncarnationKey()
+	key := in.IncarnationKey()
 	s.lost = slices.DeleteFunc(s.lost, func(l suspects.Failure) bool {
 		old := now.Sub(l.At) > lostRetention
-		if l.IncarnationKey == start && !old {
+		if l.IncarnationKey == key && !old {
 			s.suspects.ReportCrash(l)
 		}
-		return l.IncarnationKey == start || old
+		return l.IncarnationKey == key || old
 	})
 }
--- a/internal/edge/gatewayd/timeouts.go
+++ b/internal/edge/gatewayd/timeouts.go
@@ -18,9 +18,10 @@
 	// prompts and full batches are slow without a fault, but a running batch produces output
 	// every few steps.
 	minStreamTimeout = time.Second
-	// gapTimeoutFactor is the number of pause targets for which a stream may be silent before
-	// it is resumed from the copy of its run. Busy but healthy engines pause for longer than
-	// one target; callers give up a silent stream some time after this timeout.
+	// gapTimeoutFactor is the multiple of the route's gap target for which a stream may be
+	// silent before it is resumed from the backup of its run. Busy but healthy engines are
+	// silent for longer than the target; callers give up on a silent stream some time after
+	// this timeout.
 	gapTimeoutFactor = 3
 )
 
@@ -42,9 +43,9 @@
 }
 
 // newTimeouts starts the timeout for the answer of an attempt.
-func (x *request) newTimeouts(choice balance.Choice, end context.CancelCauseFunc) *timeouts {
-	p := &timeouts{
-		cancel:     func() { end(errSilent) },
+func (x *request) newTimeouts(choice balance.Choice, cancelAttempt context.CancelCauseFunc) *timeouts {
+	t := &timeouts{
+		cancel:     func() { cancelAttempt(errSilent) },
 		now:        x.server.now,
 		gapTimeout: x.gapTimeout(),
 	}
@@ -52,36 +53,36 @@
 	switch {
 	case !ok:
 	case x.call.Prompt.Tokens > 0:
-		p.answer = newStallTimer(d, p.now, func() { x.onFirstEventTimeout(p, choice, d) })
+		t.answer = newStallTimer(d, t.now, func() { x.onFirstEventTimeout(t, choice, d) })
 	default:
-		p.answer = newStallTimer(d, p.now, func() { x.onAnswerTimeout(p) })
+		t.answer = newStallTimer(d, t.now, func() { x.onAnswerTimeout(t) })
 	}
-	return p
+	return t
 }
 
 // onAnswerTimeout cancels an attempt that was not answered in time, if another upstream is
 // available. Otherwise the request keeps waiting.
-func (x *request) onAnswerTimeout(p *timeouts) {
+func (x *request) onAnswerTimeout(t *timeouts) {
 	available := false
 	x.server.control.DoWithoutCancel(func(now time.Time) { available = x.server.table.MayPick(now, x.balanceRequest()) })
 	if available {
-		p.cancel()
+		t.cancel()
 	}
 }
 
 // onFirstEventTimeout cancels an attempt whose stream did not begin in time, unless its engine
 // sends events to other requests. In that case the request is queued there, and another engine
 // would have to prefill its prompt again.
-func (x *request) onFirstEventTimeout(p *timeouts, choice balance.Choice, limit time.Duration) {
+func (x *request) onFirstEventTimeout(t *timeouts, choice balance.Choice, limit time.Duration) {
 	var remaining time.Duration
 	x.server.control.DoWithoutCancel(func(now time.Time) {
 		remaining = limit - x.server.table.SilentFor(now, choice)
 	})
 	if remaining <= 0 {
-		p.cancel()
+		t.cancel()
 		return
 	}
-	p.answer.reset(remaining)
+	t.answer.reset(remaining)
 }
 
 // answerTimeout returns the time without an answer after which the request is moved to another
@@ -98,8 +99,8 @@
 	return d, true
 }
 
-// gapTimeout returns the silence of a stream after which it is resumed from the copy of its
-// run; 0 if there is no copy or the route has no pause target.
+// gapTimeout returns the silence of a stream after which it is resumed from the backup of its
+// run; 0 if there is no backup or the route has no gap target.
 func (x *request) gapTimeout() time.Duration {
 	if !x.progress.HasBackup {
 		return 0
@@ -109,36 +110,36 @@
 
 // answerStarted stops the timeout for the answer: the first event of a stream arrived, or the
 // header of any other answer.
-func (p *timeouts) answerStarted() {
-	if p.answer != nil {
-		p.answer.stop()
+func (t *timeouts) answerStarted() {
+	if t.answer != nil {
+		t.answer.stop()
 	}
 }
 
 // eventSent starts the timeout for the next event of a stream, after the previous one was sent
 // to the caller.
-func (p *timeouts) eventSent() {
+func (t *timeouts) eventSent() {
 	switch {
-	case p.gapTimeout == 0:
-	case p.gap == nil:
-		p.gap = newStallTimer(p.gapTimeout, p.now, p.cancel)
+	case t.gapTimeout == 0:
+	case t.gap == nil:
+		t.gap = newStallTimer(t.gapTimeout, t.now, t.cancel)
 	default:
-		p.gap.reset(p.gapTimeout)
+		t.gap.reset(t.gapTimeout)
 	}
 }
 
 // eventReceived stops the timeout for the next event of a stream. It does not run again until
 // the event was sent to the caller, so that a slow caller does not count as a silent upstream.
-func (p *timeouts) eventReceived() {
-	if p.gap != nil {
-		p.gap.stop()
+func (t *timeouts) eventReceived() {
+	if t.gap != nil {
+		t.gap.stop()
 	}
 }
 
 // stop stops all timeouts.
-func (p *timeouts) stop() {
-	p.answerStarted()
-	if p.gap != nil {
-		p.gap.stop()
+func (t *timeouts) stop() {
+	t.answerStarted()
+	if t.gap != nil {
+		t.gap.stop()
 	}
 }
--- a/internal/edge/spread/fleet_test.go
+++ b/internal/edge/spread/fleet_test.go
@@ -27,7 +27,7 @@
 	"github.com/gladegauge/gladegauge/internal/standin/published"
 )
 
-// fabric carries HTTP calls between processes in memory, in virtual time.
+// network carries HTTP calls between processes in memory, in virtual time.
 type network struct {
 	mu       sync.Mutex
 	handlers map[string]http.Handler
@@ -35,7 +35,7 @@
 	cut func(from, to string) bool
 }
 
-// port is one process's way into the fabric.
+// transport sends the calls of one process over the network.
 type transport struct {
 	f    *network
 	from string
@@ -43,11 +43,11 @@
 
 const oneWay = 2 * time.Millisecond
 
-func (p transport) RoundTrip(r *http.Request) (*http.Response, error) {
-	p.f.mu.Lock()
-	h, ok := p.f.handlers[r.URL.Host]
-	lost := !ok || (p.f.cut != nil && p.f.cut(p.from, r.URL.Host))
-	p.f.mu.Unlock()
+func (t transport) RoundTrip(r *http.Request) (*http.Response, error) {
+	t.f.mu.Lock()
+	h, ok := t.f.handlers[r.URL.Host]
+	lost := !ok || (t.f.cut != nil && t.f.cut(t.from, r.URL.Host))
+	t.f.mu.Unlock()
 	time.Sleep(oneWay) // Virtual.
 	if lost {
 		<-r.Context().Done()
@@ -62,10 +62,10 @@
 	return w.Result(), nil
 }
 
-func (f *network) setCut(cut func(from, to string) bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.cut = cut
+func (n *network) setCut(cut func(from, to string) bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.cut = cut
 }
 
 // process is one process under test.
@@ -212,7 +212,7 @@
 	return ready
 }
 
-// holds returns the digest in force and the conflicts seen.
+// digestAndConflicts returns the digest in force and the number of conflicts.
 func (n *process) digestAndConflicts() (digest string, conflicts int) {
 	n.sync.o.Loop.DoWithoutCancel(func(time.Time) {
 		digest, conflicts = n.sync.holder.Config().Digest(), n.sync.holder.Conflicts()
@@ -227,14 +227,14 @@
 	return watches
 }
 
-// logged returns the log, read between two steps of the control loop.
+// logText returns the log, read between two steps of the control loop.
 func (n *process) logText() string {
 	text := ""
 	n.sync.o.Loop.DoWithoutCancel(func(time.Time) { text = n.log.String() })
 	return text
 }
 
-// counted returns the value of a counter without labels.
+// counterValue returns the value of a counter without labels.
 func (n *process) counterValue(name string) float64 {
 	families, _ := n.metrics.Registry.Gather()
 	for _, family := range families {
--- a/internal/edge/spread/platform.go
+++ b/internal/edge/spread/platform.go
@@ -19,9 +19,10 @@
 // bootstrapPeers is the maximum number of peers that a starting process tries.
 const bootstrapPeers = 3
 
-// bootstrap reads from a peer and from the platform once, so that the process starts with
-// the newest state of both. The peer goes first: only what is newer is then read from the
-// platform, which matters when many processes start at once.
+// bootstrap reads from the platform and from a peer once, so that the process starts with the
+// newest state of both. It reads the host lists first, which name the peers, and the manifest
+// last: only what is newer than the peer's configuration is then read from the platform, which
+// matters when many processes start at once.
 func (s *Sync) bootstrap(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -238,14 +239,14 @@
 
 // fallBack applies the last valid revision before an invalid one, if the process has no
 // configuration in force.
-func (s *Sync) fallBack(ctx context.Context, bad *gladegaugev1.Manifest) {
+func (s *Sync) fallBack(ctx context.Context, invalid *gladegaugev1.Manifest) {
 	for range maxParents {
 		inForce := false
 		_ = s.o.Loop.Do(ctx, func(time.Time) { inForce = s.holder.Config() != nil })
-		if inForce || bad.GetParent() == 0 {
+		if inForce || invalid.GetParent() == 0 {
 			return
 		}
-		v, err := s.o.Platform.Read(ctx, platform.ManifestAt(bad.GetParent()))
+		v, err := s.o.Platform.Read(ctx, platform.ManifestAt(invalid.GetParent()))
 		if err != nil {
 			return
 		}
@@ -256,7 +257,7 @@
 		if verdict, err := s.fetchPublished(ctx, parent); err != nil || verdict != revision.Rejected {
 			return
 		}
-		bad = parent
+		invalid = parent
 	}
 }
 
--- a/internal/soak/false_reports.go
+++ b/internal/soak/false_reports.go
@@ -52,8 +52,8 @@
 	defer h.mu.Unlock()
 	var list []*gladegaugev1.UpstreamLoad
 	for _, r := range h.replicas {
-		start := balance.Instance{ID: r.ID, Born: r.Born}.IncarnationKey()
-		list = append(list, &gladegaugev1.UpstreamLoad{Upstream: start, Gone: claimedWitnesses, Closed: claimedWitnesses, Failing: claimedWitnesses, Limited: claimedWitnesses, LimitLog: -claimedWitnesses})
+		key := balance.Instance{ID: r.ID, Born: r.Born}.IncarnationKey()
+		list = append(list, &gladegaugev1.UpstreamLoad{Upstream: key, Gone: claimedWitnesses, Closed: claimedWitnesses, Failing: claimedWitnesses, Limited: claimedWitnesses, LimitLog: -claimedWitnesses})
 	}
 	return list
 }
--- a/internal/soak/publish.go
+++ b/internal/soak/publish.go
@@ -21,7 +21,7 @@
 const (
 	routeTimeoutMs = 2000
 	routeTargetMs  = 200
-	routePauseMs   = 200
+	routeGapMs     = 200
 )
 
 // publish publishes the next configuration. It names the organisation after its version,
@@ -47,7 +47,7 @@
 func route(kind, wire string, attempts int, resume bool) standin.Route {
 	return standin.Route{
 		Name: kind, Host: host, Prefix: "/" + kind + "/", Kind: wire, Pool: pool,
-		TimeoutMs: routeTimeoutMs, TargetLatencyMs: routeTargetMs, TargetGapMs: routePauseMs, Attempts: attempts, Resume: resume,
+		TimeoutMs: routeTimeoutMs, TargetLatencyMs: routeTargetMs, TargetGapMs: routeGapMs, Attempts: attempts, Resume: resume,
 	}
 }
 
