--- a/internal/edge/gatewayd/backoff_test.go
+++ b/internal/edge/gatewayd/backoff_test.go
@@ -97,10 +97,10 @@
 	w := newTestEnv(t, 2, func(int, standin.Request) standin.Reply { return standin.Reply{Body: "done"} })
 	closed := make(notice.Closed)
 	state := notice.State{}.With(time.Now(), notice.Notice{Backoff: time.Minute})
-	resting := w.replicas[0]
+	backingOff := w.replicas[0]
 	w.server.control.DoWithoutCancel(func(now time.Time) {
 		for _, in := range w.server.roster.Current(now) {
-			if in.ID == resting.ID {
+			if in.ID == backingOff.ID {
 				closed[in.IncarnationKey()] = state
 			}
 		}
@@ -109,6 +109,6 @@
 	for range 10 {
 		is.Equal(w.call("/write/1").Status, 200)
 	}
-	is.Equal(len(resting.Received()), 0)
+	is.Equal(len(backingOff.Received()), 0)
 	is.True(strings.Contains(w.logs.String(), `"failure":"withheld"`))
 }
--- a/internal/edge/gatewayd/backup_test.go
+++ b/internal/edge/gatewayd/backup_test.go
@@ -12,8 +12,8 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// After its engine failed, a stream that may run only once is resumed from the copy of its run,
-// and from nowhere else.
+// After its engine failed, a stream that may run only once is resumed from the backup of its
+// run, and from nowhere else.
 func TestContinueFromBackup(t *testing.T) {
 	const whole = "id: 1\ndata: 1\n\nid: 2\ndata: 2\n\nid: 3\ndata: 3\n\n"
 	const forged = "10.0.0.1:1"
@@ -31,8 +31,8 @@
 		{"after its last event", standin.Reply{Events: events, CutAfter: 3}, standin.Reply{Events: events}, true, 2},
 		{"silent after its last event", standin.Reply{Events: events, CutAfter: 3, Stall: true}, standin.Reply{Events: events}, true, 2},
 		{"inside what follows its last event", standin.Reply{Events: events, CutAfter: 3, CutMidEvent: true}, standin.Reply{Events: events}, true, 2},
-		{"after its last event, no copy available", standin.Reply{Events: events, CutAfter: 3}, standin.Reply{Refuse: true}, false, 1},
-		{"no copy available", standin.Reply{Events: events, CutAfter: 1}, standin.Reply{Refuse: true}, false, 1},
+		{"after its last event, no backup available", standin.Reply{Events: events, CutAfter: 3}, standin.Reply{Refuse: true}, false, 1},
+		{"no backup available", standin.Reply{Events: events, CutAfter: 1}, standin.Reply{Refuse: true}, false, 1},
 		{"before its first event", standin.Reply{Malformed: true}, standin.Reply{Events: events}, false, 1},
 	}
 	for _, tt := range tests {
--- a/internal/edge/gatewayd/crash_test.go
+++ b/internal/edge/gatewayd/crash_test.go
@@ -69,8 +69,8 @@
 	})
 }
 
-// ended returns the number of engines that crashed.
-func (w *crashEnv) ended() int {
+// crashedEngines returns the number of engines that crashed.
+func (w *crashEnv) crashedEngines() int {
 	n := 0
 	for _, r := range w.replicas {
 		if r.Crashed() {
@@ -115,7 +115,7 @@
 		w.send(i%len(w.peers), "/chat/1", crashBody)
 		w.awaitReports()
 	}
-	w.is.Equal(w.ended(), 3)
+	w.is.Equal(w.crashedEngines(), 3)
 }
 
 // At every gateway the caller of a blocked request gets an error that ordinary clients
@@ -135,7 +135,7 @@
 		w.is.Equal(w.send(i, "/chat/1", "another body").Status, http.StatusOK)
 		w.is.Equal(w.send(i, "/chat/2", "hello").Status, http.StatusOK)
 	}
-	w.is.Equal(w.ended(), 3)
+	w.is.Equal(w.crashedEngines(), 3)
 }
 
 // Answers that break off while their upstream keeps running say nothing about the request,
--- a/internal/edge/gatewayd/evacuation_test.go
+++ b/internal/edge/gatewayd/evacuation_test.go
@@ -58,7 +58,8 @@
 }
 
 // The upstreams of an evacuated availability zone get no new requests, not even those
-// listed after it began, whatever else is published. Requests are sent to other zones.
+// listed after the evacuation began, whatever else is published. Requests are sent to other
+// zones.
 func TestEvacuatedZoneGetsNothingNew(t *testing.T) {
 	tests := []struct {
 		name string
@@ -67,21 +68,21 @@
 		back bool
 	}{
 		{name: "evacuated"},
-		{name: "asked for twice", then: func(w *testEnv) { w.store.Evacuate("b") }},
+		{name: "evacuated twice", then: func(w *testEnv) { w.store.Evacuate("b") }},
 		{name: "a configuration follows", then: func(w *testEnv) { w.store.PutConfig(configuration(2)) }},
 		{name: "its upstream begins to leave", then: func(w *testEnv) { w.store.PutReplica(w.replicas[1], "app", true) }},
 		{name: "the store compacts its history", then: func(w *testEnv) { w.store.Compact() }},
-		{name: "taken back", back: true, then: func(w *testEnv) { w.store.EndEvacuation("b") }},
-		{name: "taken back and evacuated again", then: func(w *testEnv) {
+		{name: "the evacuation ends", back: true, then: func(w *testEnv) { w.store.EndEvacuation("b") }},
+		{name: "ended and evacuated again", then: func(w *testEnv) {
 			w.store.EndEvacuation("b")
 			w.store.Evacuate("b")
 		}},
-		{name: "taken back while the store compacts its history", back: true, then: func(w *testEnv) {
+		{name: "ended while the store compacts its history", back: true, then: func(w *testEnv) {
 			w.store.SuppressNotifications()
 			w.store.EndEvacuation("b")
 			w.store.CompactSilently()
 		}},
-		{name: "another one overlaps and is taken back", then: func(w *testEnv) {
+		{name: "another one overlaps and ends", then: func(w *testEnv) {
 			w.addReplicaIn("c", "i-c")
 			w.store.Evacuate("c")
 			w.store.EndEvacuation("c")
--- a/internal/edge/gatewayd/outage_test.go
+++ b/internal/edge/gatewayd/outage_test.go
@@ -115,8 +115,8 @@
 		name string
 		resp *gladegaugev1.FollowResponse
 		// age is the age of the proof when the store answers.
-		age  time.Duration
-		kept bool
+		age      time.Duration
+		retained bool
 	}{
 		{"a call failed since the proof", failed(500), 4 * time.Second, true},
 		{"a call failed before it", failed(5000), 4 * time.Second, false},
@@ -135,7 +135,7 @@
 				w.server.view.Store(&view)
 				w.server.recordPeerStoreState(now, "10.0.0.9:1", tt.resp)
 				w.server.storeAnswered(now)
-				is.Equal(!w.server.roster.RecoveredAt().IsZero(), tt.kept)
+				is.Equal(!w.server.roster.RecoveredAt().IsZero(), tt.retained)
 			})
 		})
 	}
--- a/internal/edge/gatewayd/restore_test.go
+++ b/internal/edge/gatewayd/restore_test.go
@@ -27,7 +27,7 @@
 }
 
 // newRestoreEnv starts three gateways, one of which reads the store for the others. They
-// know more than the copy from which the store is restored.
+// know more than the backup from which the store is restored.
 func newRestoreEnv(t *testing.T) (w *testEnv, all []*testPeer) {
 	t.Helper()
 	w = &testEnv{t: t, is: is.New(t), store: standin.NewStore(t)}
@@ -106,7 +106,7 @@
 	return epoch
 }
 
-// Upstreams that are leaving or removed are not revived by a restored backup of the store.
+// Upstreams that are leaving or removed are not revived by a restore of the store.
 func TestRestoreRevivesNoUpstream(t *testing.T) {
 	w := newTestEnv(t, 3, nil)
 	w.store.Backup()
--- a/internal/edge/gatewayd/slow_test.go
+++ b/internal/edge/gatewayd/slow_test.go
@@ -76,9 +76,9 @@
 	w := newTestEnv(t, 1, replyOK)
 	w.store.PutRawConfig([]byte("{"))
 	w.await(func() bool {
-		unread := false
-		w.server.control.DoWithoutCancel(func(time.Time) { unread = w.server.configUnreadable })
-		return unread
+		unreadable := false
+		w.server.control.DoWithoutCancel(func(time.Time) { unreadable = w.server.configUnreadable })
+		return unreadable
 	})
 	before := w.server.view.Load().NewestAt
 	w.server.control.DoWithoutCancel(func(now time.Time) { w.server.applyTable(nil, true, now, sourceStore) })
@@ -98,7 +98,7 @@
 	is.Equal(x.firstByte, time.Duration(0))
 }
 
-// An error response that is too large to be held is logged with its cause.
+// An error response that is too large to be buffered is logged with its cause.
 func TestLargeErrorIsLoggedWithCause(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, 1, func(int, standin.Request) standin.Reply {
--- a/internal/edge/gatewayd/turn_test.go
+++ b/internal/edge/gatewayd/store_calls_test.go
@@ -42,7 +42,7 @@
 	w.store.PutConfig(configuration(1))
 	first := startPeer(t, w.store)
 	all := []*testPeer{first, startPeer(t, w.store, first.PeersAddress()), startPeer(t, w.store, first.PeersAddress())}
-	unread := func() bool {
+	allUnreadable := func() bool {
 		n := 0
 		for _, g := range all {
 			g.control.DoWithoutCancel(func(time.Time) {
@@ -55,7 +55,7 @@
 	}
 	w.await(func() bool { return all[0].version() == 1 && all[1].version() == 1 && all[2].version() == 1 })
 	w.store.PutRawConfig([]byte("{"))
-	w.await(unread)
+	w.await(allUnreadable)
 	bounds := first.readerBounds()
 	late := time.Now().Add(2 * bounds.MaxConfigDelay)
 	w.await(func() bool { return time.Now().After(late) })
