--- a/internal/edge/gatewayd/attempt.go
+++ b/internal/edge/gatewayd/attempt.go
@@ -35,8 +35,8 @@
 		return failure, err
 	}
 	x.headAt = x.server.now()
-	a := answer{Answer: got, choice: choice, head: platform.DecodeAnswer(got.StatusCode, got.Header)}
-	failure, err := x.handleAnswer(ctx, a)
+	a := response{Answer: got, choice: choice, head: platform.DecodeAnswer(got.StatusCode, got.Header)}
+	failure, err := x.handleResponse(ctx, a)
 	switch failure {
 	case gateway.None, gateway.Faulty, gateway.NotRun, gateway.Replaced:
 		a.Close()
@@ -48,7 +48,7 @@
 		// The load was recorded when the response started, and is out of date by now.
 		load = nil
 	}
-	x.finishAttempt(choice, outcomeOfAnswer(failure, err, a.StatusCode), load)
+	x.finishAttempt(choice, outcomeOfResponse(failure, err, a.StatusCode), load)
 	return failure, err
 }
 
@@ -71,7 +71,7 @@
 	})
 }
 
-// owns reports whether an answer belongs to this request. Refusals may lack the request ID.
+// owns reports whether a response belongs to this request. Refusals may lack the request ID.
 func (x *request) owns(r *http.Response) bool {
 	a := platform.DecodeAnswer(r.StatusCode, r.Header)
 	return x.call.ID == "" || a.ID == x.call.ID || (a.ID == "" && !a.Sealed)
@@ -104,10 +104,10 @@
 	})
 }
 
-// answerStarted records the arrival of the first event of a stream, or of the header of any
-// other answer.
-func (x *request) answerStarted(a answer) {
-	x.timeouts.answerStarted()
+// responseStarted records the arrival of the first event of a stream, or of the header of any
+// other response.
+func (x *request) responseStarted(a response) {
+	x.timeouts.responseStarted()
 	x.loadRecorded = true
 	x.server.control.DoWithoutCancel(func(now time.Time) {
 		x.server.table.ResponseStarted(now, a.choice)
--- a/internal/edge/gatewayd/backup_test.go
+++ b/internal/edge/gatewayd/backup_test.go
@@ -50,7 +50,7 @@
 			w.await(func() bool { return w.server.view.Load().Table.Version == 2 })
 			a := w.caller.Call(context.Background(), standin.Request{
 				ID: "r-7", Host: "x.example", URI: "/chat/1", Key: "key-a", Body: "hello", DeadlineMs: 1900,
-				// The answer is longer than the prompt.
+				// The response is longer than the prompt.
 				Tokens: "300,400", PromptParts: "5c1e:200,91bd:100",
 				// Callers must not be able to set these.
 				FetchFrom: forged, BackupAt: forged, ContinueFrom: forged + "/other",
--- a/internal/edge/gatewayd/crash_test.go
+++ b/internal/edge/gatewayd/crash_test.go
@@ -138,8 +138,8 @@
 	w.is.Equal(w.crashedEngines(), 3)
 }
 
-// Answers that break off while their upstream keeps running say nothing about the request,
-// however often that happens.
+// Responses that break off while their upstream keeps running say nothing about the
+// request, however often that happens.
 func TestBrokenAnswersAreNoEvidence(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, 3, func(n int, _ standin.Request) standin.Reply {
--- a/internal/edge/gatewayd/failure.go
+++ b/internal/edge/gatewayd/failure.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// outcomeOfAnswer maps the failure of an attempt that got an answer to an outcome for the
+// outcomeOfResponse maps the failure of an attempt that got a response to an outcome for the
 // upstream.
-func outcomeOfAnswer(f gateway.Failure, err error, status int) balance.Outcome {
+func outcomeOfResponse(f gateway.Failure, err error, status int) balance.Outcome {
 	if f == gateway.NotRun {
 		return outcomeOfRefusal(status)
 	}
--- a/internal/edge/gatewayd/leaving_test.go
+++ b/internal/edge/gatewayd/leaving_test.go
@@ -11,9 +11,9 @@
 // leavingLine is the header line with which an upstream announces that it is leaving.
 const leavingLine = "Server-Leaving: 1\r\n"
 
-// An upstream that announces in any answer that it is leaving gets no new requests, also while
-// the store is unreachable. If gateways learn of it from the store's entries alone, they keep
-// sending: during a store outage the gateway that had relayed such an answer sent the upstream
+// An upstream that announces in any response that it is leaving gets no new requests, also
+// while the store is unreachable. If gateways learn of it from the store's entries alone, they keep
+// sending: during a store outage the gateway that had relayed such a response sent the upstream
 // another request 12.3 s later.
 func TestLeavingUpstreamGetsNoNewRequests(t *testing.T) {
 	tests := []struct {
--- a/internal/edge/gatewayd/limit_test.go
+++ b/internal/edge/gatewayd/limit_test.go
@@ -14,7 +14,7 @@
 	"github.com/gladegauge/gladegauge/platform/standin"
 )
 
-// limitLine announces a limit of one request per second, as in the head of an answer.
+// limitLine announces a limit of one request per second, as in the head of a response.
 const limitLine = "Server-Limit: 1\r\n"
 
 const (
@@ -27,8 +27,8 @@
 )
 
 // Two engines announced a limit of one request per second for all gateways together, and
-// got 22 and 15 requests in 4 s from gateways that had forwarded such an answer. The
-// limits in answers had no effect: one gateway sent 30 requests within 100 ms to each of
+// got 22 and 15 requests in 4 s from gateways that had forwarded such a response. The
+// limits in responses had no effect: one gateway sent 30 requests within 100 ms to each of
 // two upstreams after it had logged "upstream changes its limit", and each "picked" line
 // compared both of them. No gateway could have kept the limit alone, because it applies to
 // the sum of all gateways.
@@ -62,7 +62,7 @@
 }
 
 // If all upstreams have a limit, the caller is told at once that nothing was run, and when
-// a turn is likely. The first answer without a limit ends it.
+// a turn is likely. The first response without a limit ends it.
 func TestAllUpstreamsAreLimited(t *testing.T) {
 	is := is.New(t)
 	var free atomic.Bool
@@ -85,7 +85,7 @@
 	free.Store(true)
 	w.suspend(2 * time.Second)
 	for range 20 {
-		is.Equal(w.call("/write/1").Status, 200) // the first answer ends the limit
+		is.Equal(w.call("/write/1").Status, 200) // the first response ends the limit
 	}
 	is.True(strings.Contains(w.logs.String(), `"limited":false,"per_second":0,"message":"upstream changes its limit"`))
 }
--- a/internal/edge/gatewayd/metrics.go
+++ b/internal/edge/gatewayd/metrics.go
@@ -45,7 +45,7 @@
 	gateways      prometheus.Gauge
 	// ends counts the upstreams that this gateway found ended.
 	ends prometheus.Counter
-	// notices counts what upstreams reported about themselves in their answers, by kind.
+	// notices counts what upstreams reported about themselves in their responses, by kind.
 	notices *prometheus.CounterVec
 	// retriesDenied counts retries that the retry budget did not allow.
 	retriesDenied prometheus.Counter
@@ -113,7 +113,7 @@
 	stateReady   = "ready"
 	stateLeaving = "leaving"
 	// stateSaysLeaving is the state of upstreams that are listed as ready but have
-	// announced in an answer that they are leaving.
+	// announced in a response that they are leaving.
 	stateSaysLeaving = "says_leaving"
 	// stateEvacuated is the state of upstreams that get no new requests because their
 	// availability zone is evacuated.
@@ -127,7 +127,7 @@
 }
 
 // list counts the listed upstreams. SaysLeaving reports whether an upstream has announced
-// in an answer that it is leaving.
+// in a response that it is leaving.
 func (m *serverMetrics) list(list []balance.Instance, saysLeaving func(id string) bool) {
 	m.upstreams.Set(float64(len(list)))
 	m.zoneUpstreams.Reset()
@@ -154,7 +154,7 @@
 	return uint64(max(0, v.Age(now).Milliseconds()))
 }
 
-// observe records the duration of one answer.
+// observe records the duration of one response.
 func observe(h *prometheus.HistogramVec, kind string, d time.Duration) {
 	h.WithLabelValues(kind).Observe(d.Seconds())
 }
--- a/internal/edge/gatewayd/notice.go
+++ b/internal/edge/gatewayd/notice.go
@@ -23,9 +23,9 @@
 // maxLoggedText is the number of bytes of an unparsable notice that are logged.
 const maxLoggedText = 60
 
-// handleNotice processes what an answer's header announces about its upstream. It is called
-// for every header that arrives, including those of refusals, of errors and of answers to other
-// requests: the platform's list may show the same many seconds later, or never.
+// handleNotice processes what a response's header announces about its upstream. It is called
+// for every header that arrives, including those of refusals, of errors and of responses to
+// other requests: the platform's list may show the same many seconds later, or never.
 func (x *request) handleNotice(choice balance.Choice, r *http.Response) {
 	n := platform.DecodeNotice(r.StatusCode, r.Header)
 	s := x.server
--- a/internal/edge/gatewayd/refusal_test.go
+++ b/internal/edge/gatewayd/refusal_test.go
@@ -28,7 +28,7 @@
 	}
 	for _, tt := range tests {
 		is := is.New(t)
-		is.Equal(outcomeOfAnswer(gateway.NotRun, nil, tt.status), tt.want)
+		is.Equal(outcomeOfResponse(gateway.NotRun, nil, tt.status), tt.want)
 	}
 }
 
--- a/internal/edge/gatewayd/request.go
+++ b/internal/edge/gatewayd/request.go
@@ -63,7 +63,7 @@
 	loadRecorded bool
 	// lastError is the latest error response of an upstream, which may still be relayed to
 	// the caller.
-	lastError *errorAnswer
+	lastError *errorResponse
 	// sentAt is the time at which the current attempt began.
 	sentAt time.Time
 	// headAt is the time at which the response header of the current attempt arrived; zero
--- a/internal/edge/gatewayd/answer.go
+++ b/internal/edge/gatewayd/response.go
@@ -15,26 +15,26 @@
 	"github.com/gladegauge/gladegauge/platform"
 )
 
-// maxBufferedBytes is the largest answer that is read completely before its head is sent
+// maxBufferedBytes is the largest response that is read completely before its head is sent
 // to the caller, so that another attempt can replace a broken one.
 const maxBufferedBytes = 64 << 10
 
-// answer is the answer of one upstream.
-type answer struct {
+// response is the response of one upstream.
+type response struct {
 	*exchange.Answer
 	choice balance.Choice
 	head   platform.Answer
 }
 
-// errorAnswer is an error that an upstream answered, with its whole body.
-type errorAnswer struct {
+// errorResponse is an error that an upstream answered, with its whole body.
+type errorResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// handleAnswer forwards an answer, or returns why it cannot be used.
-func (x *request) handleAnswer(ctx context.Context, a answer) (gateway.Failure, error) {
+// handleResponse forwards a response, or returns why it cannot be used.
+func (x *request) handleResponse(ctx context.Context, a response) (gateway.Failure, error) {
 	switch {
 	case a.head.Replaced:
 		return gateway.Replaced, errors.Newf("refused with %s by another instance", a.Status)
@@ -69,15 +69,15 @@
 	}
 }
 
-// isStream reports whether the answer is an event stream.
+// isStream reports whether the response is an event stream.
 func isStream(h http.Header) bool {
 	kind, _, err := mime.ParseMediaType(h.Get("Content-Type"))
 	return err == nil && kind == "text/event-stream"
 }
 
 // bufferError reads an upstream's own error, which another attempt may replace.
-func (x *request) bufferError(ctx context.Context, a answer) (gateway.Failure, error) {
-	x.answerStarted(a)
+func (x *request) bufferError(ctx context.Context, a response) (gateway.Failure, error) {
+	x.responseStarted(a)
 	data, err := io.ReadAll(io.LimitReader(a, maxBufferedBytes+1))
 	if err == nil && len(data) > maxBufferedBytes {
 		err = errors.Newf("more than %d bytes", maxBufferedBytes)
@@ -85,14 +85,14 @@
 	if err != nil {
 		return x.failureOf(ctx, err), errors.Wrapf(err, "%s with a body that could not be kept", a.Status)
 	}
-	x.lastError = &errorAnswer{status: a.StatusCode, header: a.Header, body: data}
+	x.lastError = &errorResponse{status: a.StatusCode, header: a.Header, body: data}
 	return gateway.Faulty, errors.Newf("the upstream answered %s", a.Status)
 }
 
-// relayWhole forwards an answer that is not a stream. A small one is read completely
+// relayWhole forwards a response that is not a stream. A small one is read completely
 // first.
-func (x *request) relayWhole(ctx context.Context, a answer) (gateway.Failure, error) {
-	x.answerStarted(a)
+func (x *request) relayWhole(ctx context.Context, a response) (gateway.Failure, error) {
+	x.responseStarted(a)
 	data, err := io.ReadAll(io.LimitReader(a, maxBufferedBytes+1))
 	if err != nil {
 		return x.failureOf(ctx, err), errors.Wrap(err, "body cut short")
@@ -129,7 +129,7 @@
 	return n, err
 }
 
-// commit sends the head of the answer to the caller.
+// commit sends the head of the response to the caller.
 func (x *request) commit(status int, upstream http.Header, length int64) {
 	h := x.w.Header()
 	connection := h.Get("Connection")
--- a/internal/edge/gatewayd/slow_test.go
+++ b/internal/edge/gatewayd/slow_test.go
@@ -94,7 +94,7 @@
 	is := is.New(t)
 	w := newTestEnv(t, 2, replyOK)
 	x := &request{server: w.server, startedAt: time.Now().Add(-time.Second), timeouts: &timeouts{}}
-	x.answerStarted(answer{head: platform.Answer{}})
+	x.responseStarted(response{head: platform.Answer{}})
 	is.Equal(x.firstByte, time.Duration(0))
 }
 
@@ -143,7 +143,7 @@
 }
 
 // A read whose upstream is slow is moved to another one. If there is none, it keeps waiting
-// for the answer.
+// for the response.
 func TestSlowUpstream(t *testing.T) {
 	for _, n := range []int{1, 2} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -162,7 +162,7 @@
 			})
 			if n == 1 {
 				w.await(func() bool { return len(w.ran()) == 1 })
-				release := time.AfterFunc(900*time.Millisecond, func() { close(slow) }) // after 0.6 of the target, the answer timeout
+				release := time.AfterFunc(900*time.Millisecond, func() { close(slow) }) // after 0.6 of the target, the response timeout
 				defer release.Stop()
 			} else {
 				defer close(slow)
--- a/internal/edge/gatewayd/stream.go
+++ b/internal/edge/gatewayd/stream.go
@@ -19,7 +19,7 @@
 // relayStream forwards whole events as they arrive; partial events are never forwarded. After
 // a failover, events that the caller already has are dropped, whatever event the next upstream
 // starts with: an upstream that resumes after the last event of its run repeats that event.
-func (x *request) relayStream(ctx context.Context, a answer) (gateway.Failure, error) {
+func (x *request) relayStream(ctx context.Context, a response) (gateway.Failure, error) {
 	br := readerPool.Get().(*bufio.Reader)
 	br.Reset(a)
 	defer readerPool.Put(br)
@@ -45,7 +45,7 @@
 		if !started {
 			started = true
 			x.firstEventAt = now
-			x.answerStarted(a)
+			x.responseStarted(a)
 			reportedAt = now
 			lastAt = now
 		}
@@ -76,7 +76,7 @@
 
 // commitStream sends the response header, unless that of an earlier upstream was already
 // sent.
-func (x *request) commitStream(a answer) {
+func (x *request) commitStream(a response) {
 	if !x.progress.ResponseStarted {
 		x.commit(a.StatusCode, a.Header, -1)
 	}
--- a/internal/edge/gatewayd/timeouts.go
+++ b/internal/edge/gatewayd/timeouts.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// answerTimeoutShare is the fraction of the route's target after which a repeatable
+	// responseTimeoutShare is the fraction of the route's target after which a repeatable
 	// request is moved from an upstream that has not answered to another one.
-	answerTimeoutShare = 0.6
+	responseTimeoutShare = 0.6
 	// minStreamTimeout is the minimum time for which a model engine must have sent nothing to
 	// any request before a request whose stream has not begun is moved elsewhere. Long
 	// prompts and full batches are slow without a fault, but a running batch produces output
@@ -33,36 +33,36 @@
 	cancel func()
 	// now returns the current time.
 	now func() time.Time
-	// answer runs until the answer starts; nil if the request may not be moved to another
-	// upstream.
-	answer *stallTimer
+	// response runs until the response of the upstream starts; nil if the request may not be
+	// moved to another upstream.
+	response *stallTimer
 	// gapTimeout is the maximum silence of a stream after an event; 0 means unlimited.
 	gapTimeout time.Duration
 	// gap runs while the next event is awaited; nil until the first event was sent on.
 	gap *stallTimer
 }
 
-// newTimeouts starts the timeout for the answer of an attempt.
+// newTimeouts starts the timeout for the response of an attempt.
 func (x *request) newTimeouts(choice balance.Choice, cancelAttempt context.CancelCauseFunc) *timeouts {
 	t := &timeouts{
 		cancel:     func() { cancelAttempt(errSilent) },
 		now:        x.server.now,
 		gapTimeout: x.gapTimeout(),
 	}
-	d, ok := x.answerTimeout()
+	d, ok := x.responseTimeout()
 	switch {
 	case !ok:
 	case x.call.Prompt.Tokens > 0:
-		t.answer = newStallTimer(d, t.now, func() { x.onFirstEventTimeout(t, choice, d) })
+		t.response = newStallTimer(d, t.now, func() { x.onFirstEventTimeout(t, choice, d) })
 	default:
-		t.answer = newStallTimer(d, t.now, func() { x.onAnswerTimeout(t) })
+		t.response = newStallTimer(d, t.now, func() { x.onResponseTimeout(t) })
 	}
 	return t
 }
 
-// onAnswerTimeout cancels an attempt that was not answered in time, if another upstream is
+// onResponseTimeout cancels an attempt that was not answered in time, if another upstream is
 // available. Otherwise the request keeps waiting.
-func (x *request) onAnswerTimeout(t *timeouts) {
+func (x *request) onResponseTimeout(t *timeouts) {
 	available := false
 	x.server.control.DoWithoutCancel(func(now time.Time) { available = x.server.table.MayPick(now, x.balanceRequest()) })
 	if available {
@@ -82,17 +82,17 @@
 		t.cancel()
 		return
 	}
-	t.answer.reset(remaining)
+	t.response.reset(remaining)
 }
 
-// answerTimeout returns the time without an answer after which the request is moved to another
-// upstream; false if it may not be moved.
-func (x *request) answerTimeout() (time.Duration, bool) {
+// responseTimeout returns the time without a response after which the request is moved to
+// another upstream; false if it may not be moved.
+func (x *request) responseTimeout() (time.Duration, bool) {
 	route := x.admission.Route
 	if !route.MayRepeat() || !x.progress.Replayable || x.progress.Sent+1 >= route.MaxAttempts || route.Target == 0 {
 		return 0, false
 	}
-	d := time.Duration(answerTimeoutShare * float64(route.Target))
+	d := time.Duration(responseTimeoutShare * float64(route.Target))
 	if x.call.Prompt.Tokens > 0 {
 		d = max(2*route.Target, minStreamTimeout)
 	}
@@ -108,11 +108,11 @@
 	return gapTimeoutFactor * x.admission.Route.EventGapTarget
 }
 
-// answerStarted stops the timeout for the answer: the first event of a stream arrived, or the
-// header of any other answer.
-func (t *timeouts) answerStarted() {
-	if t.answer != nil {
-		t.answer.stop()
+// responseStarted stops the timeout for the response: the first event of a stream arrived, or
+// the header of any other response.
+func (t *timeouts) responseStarted() {
+	if t.response != nil {
+		t.response.stop()
 	}
 }
 
@@ -138,7 +138,7 @@
 
 // stop stops all timeouts.
 func (t *timeouts) stop() {
-	t.answerStarted()
+	t.responseStarted()
 	if t.gap != nil {
 		t.gap.stop()
 	}
