--- a/internal/edge/gatewayd/attempt.go
+++ b/internal/edge/gatewayd/attempt.go
@@ -35,8 +35,8 @@
 		return failure, err
 	}
 	x.headAt = x.server.now()
-	a := answer{Answer: got, choice: choice, head: platform.DecodeAnswer(got.StatusCode, got.Header)}
-	failure, err := x.handleAnswer(ctx, a)
+	a := response{Answer: got, choice: choice, head: platform.DecodeAnswer(got.StatusCode, got.Header)}
+	failure, err := x.handleResponse(ctx, a)
 	switch failure {
 	case gateway.None, gateway.Faulty, gateway.NotRun, gateway.Replaced:
 		a.Close()
@@ -48,13 +48,13 @@
 		// The load was recorded when the response started, and is out of date by now.
 		load = nil
 	}
-	x.finishAttempt(choice, outcomeOfAnswer(failure, err, a.StatusCode), load)
+	x.finishAttempt(choice, outcomeOfResponse(failure, err, a.StatusCode), load)
 	return failure, err
 }
 
 // maySend is checked immediately before the first byte is written. While the connection was
 // being established, the upstream may have announced to other requests that it is leaving,
-// that gateways should back off, or a rate limit of which this request has no turn.
+// that gateways should back off, or a rate limit under which this request has no turn.
 func (x *request) maySend(choice balance.Choice) bool {
 	closed := *x.server.closed.Load()
 	if len(closed) == 0 {
@@ -71,13 +71,13 @@
 	})
 }
 
-// owns reports whether an answer belongs to this request. Refusals may lack the request ID.
+// owns reports whether a response belongs to this request. Refusals may lack the request ID.
 func (x *request) owns(r *http.Response) bool {
 	a := platform.DecodeAnswer(r.StatusCode, r.Header)
 	return x.call.ID == "" || a.ID == x.call.ID || (a.ID == "" && !a.Sealed)
 }
 
-// finishAttempt records the outcome of the attempt in the control goroutine.
+// finishAttempt records the outcome of the attempt in the control loop.
 func (x *request) finishAttempt(choice balance.Choice, o balance.Outcome, load *balance.Load) {
 	tokens := 0
 	if p, ok := x.view.Table.Pool(x.admission.Pool); ok && p.Engine != nil {
@@ -87,7 +87,7 @@
 	survived := x.survived(o)
 	if survived {
 		// Computed here because hashing takes several microseconds, which would block the
-		// control goroutine.
+		// control loop.
 		x.fingerprint()
 	}
 	x.server.control.DoWithoutCancel(func(now time.Time) {
@@ -104,10 +104,10 @@
 	})
 }
 
-// answerStarted records the arrival of the first event of a stream, or of the header of any
-// other answer.
-func (x *request) answerStarted(a answer) {
-	x.timeouts.answerStarted()
+// responseStarted records the arrival of the first event of a stream, or of the header of any
+// other response.
+func (x *request) responseStarted(a response) {
+	x.timeouts.responseStarted()
 	x.loadRecorded = true
 	x.server.control.DoWithoutCancel(func(now time.Time) {
 		x.server.table.ResponseStarted(now, a.choice)
--- a/internal/edge/gatewayd/notice.go
+++ b/internal/edge/gatewayd/notice.go
@@ -16,16 +16,16 @@
 	noticeBackoff  = "rest"
 	noticeLimit    = "limit"
 	noticeUnparsed = "unread"
-	// noticeUnknownStart is for notices that name no listed incarnation.
-	noticeUnknownStart = "nobody"
+	// noticeUnknownIncarnation is for notices that name no listed incarnation.
+	noticeUnknownIncarnation = "nobody"
 )
 
 // maxLoggedText is the number of bytes of an unparsable notice that are logged.
 const maxLoggedText = 60
 
-// handleNotice processes what an answer's header announces about its upstream. It is called
-// for every header that arrives, including those of refusals, of errors and of answers to other
-// requests: the platform's list may show the same many seconds later, or never.
+// handleNotice processes what a response's header announces about its upstream. It is called
+// for every header that arrives, including those of refusals, of errors and of responses to
+// other requests: the platform's list may show the same many seconds later, or never.
 func (x *request) handleNotice(choice balance.Choice, r *http.Response) {
 	n := platform.DecodeNotice(r.StatusCode, r.Header)
 	s := x.server
@@ -52,7 +52,7 @@
 			Str("address", choice.Address).Int("status", r.StatusCode)
 	}
 	if result.Sender.ID == "" && n.Any() {
-		line(noticeUnknownStart).Str("sent_to", choice.ID).Str("named", n.Sender).Msg("notice from an incarnation that is not listed")
+		line(noticeUnknownIncarnation).Str("sent_to", choice.ID).Str("named", n.Sender).Msg("notice from an incarnation that is not listed")
 	}
 	if result.NewlyLeaving {
 		line(noticeLeaving).Msg("upstream announced that it is leaving")
--- a/internal/edge/gatewayd/slow_test.go
+++ b/internal/edge/gatewayd/slow_test.go
@@ -76,9 +76,9 @@
 	w := newTestEnv(t, 1, replyOK)
 	w.store.PutRawConfig([]byte("{"))
 	w.await(func() bool {
-		unread := false
-		w.server.control.DoWithoutCancel(func(time.Time) { unread = w.server.configUnreadable })
-		return unread
+		unreadable := false
+		w.server.control.DoWithoutCancel(func(time.Time) { unreadable = w.server.configUnreadable })
+		return unreadable
 	})
 	before := w.server.view.Load().NewestAt
 	w.server.control.DoWithoutCancel(func(now time.Time) { w.server.applyTable(nil, true, now, sourceStore) })
@@ -94,11 +94,11 @@
 	is := is.New(t)
 	w := newTestEnv(t, 2, replyOK)
 	x := &request{server: w.server, startedAt: time.Now().Add(-time.Second), timeouts: &timeouts{}}
-	x.answerStarted(answer{head: platform.Answer{}})
+	x.responseStarted(response{head: platform.Answer{}})
 	is.Equal(x.firstByte, time.Duration(0))
 }
 
-// An error response that is too large to be held is logged with its cause.
+// An error response that is too large to be buffered is logged with its cause.
 func TestLargeErrorIsLoggedWithCause(t *testing.T) {
 	is := is.New(t)
 	w := newTestEnv(t, 1, func(int, standin.Request) standin.Reply {
@@ -143,7 +143,7 @@
 }
 
 // A read whose upstream is slow is moved to another one. If there is none, it keeps waiting
-// for the answer.
+// for the response.
 func TestSlowUpstream(t *testing.T) {
 	for _, n := range []int{1, 2} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -162,7 +162,7 @@
 			})
 			if n == 1 {
 				w.await(func() bool { return len(w.ran()) == 1 })
-				release := time.AfterFunc(900*time.Millisecond, func() { close(slow) }) // after 0.6 of the target, the answer timeout
+				release := time.AfterFunc(900*time.Millisecond, func() { close(slow) }) // after 0.6 of the target, the response timeout
 				defer release.Stop()
 			} else {
 				defer close(slow)
--- a/internal/edge/gatewayd/stream.go
+++ b/internal/edge/gatewayd/stream.go
@@ -13,13 +13,13 @@
 	"github.com/gladegauge/gladegauge/internal/core/gateway"
 )
 
-// heardInterval is how often a running stream reports that its upstream is alive.
-const heardInterval = 200 * time.Millisecond
+// aliveInterval is how often a running stream reports that its upstream is alive.
+const aliveInterval = 200 * time.Millisecond
 
 // relayStream forwards whole events as they arrive; partial events are never forwarded. After
 // a failover, events that the caller already has are dropped, whatever event the next upstream
 // starts with: an upstream that resumes after the last event of its run repeats that event.
-func (x *request) relayStream(ctx context.Context, a answer) (gateway.Failure, error) {
+func (x *request) relayStream(ctx context.Context, a response) (gateway.Failure, error) {
 	br := readerPool.Get().(*bufio.Reader)
 	br.Reset(a)
 	defer readerPool.Put(br)
@@ -45,7 +45,7 @@
 		if !started {
 			started = true
 			x.firstEventAt = now
-			x.answerStarted(a)
+			x.responseStarted(a)
 			reportedAt = now
 			lastAt = now
 		}
@@ -54,7 +54,7 @@
 			x.longestGap = max(x.longestGap, now.Sub(lastAt))
 			lastAt = now
 		}
-		if now.Sub(reportedAt) >= heardInterval {
+		if now.Sub(reportedAt) >= aliveInterval {
 			reportedAt = now
 			reported := gaps
 			gaps = balance.Gaps{}
@@ -76,7 +76,7 @@
 
 // commitStream sends the response header, unless that of an earlier upstream was already
 // sent.
-func (x *request) commitStream(a answer) {
+func (x *request) commitStream(a response) {
 	if !x.progress.ResponseStarted {
 		x.commit(a.StatusCode, a.Header, -1)
 	}
--- a/internal/edge/gatewayd/timeouts.go
+++ b/internal/edge/gatewayd/timeouts.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// answerTimeoutShare is the fraction of the route's target after which a repeatable
+	// responseTimeoutShare is the fraction of the route's target after which a repeatable
 	// request is moved from an upstream that has not answered to another one.
-	answerTimeoutShare = 0.6
+	responseTimeoutShare = 0.6
 	// minStreamTimeout is the minimum time for which a model engine must have sent nothing to
 	// any request before a request whose stream has not begun is moved elsewhere. Long
 	// prompts and full batches are slow without a fault, but a running batch produces output
 	// every few steps.
 	minStreamTimeout = time.Second
-	// gapTimeoutFactor is the number of pause targets for which a stream may be silent before
-	// it is resumed from the copy of its run. Busy but healthy engines pause for longer than
-	// one target; callers give up a silent stream some time after this timeout.
+	// gapTimeoutFactor is the multiple of the route's gap target for which a stream may be
+	// silent before it is resumed from the backup of its run. Busy but healthy engines are
+	// silent for longer than the target; callers give up on a silent stream some time after
+	// this timeout.
 	gapTimeoutFactor = 3
 )
 
@@ -32,74 +33,74 @@
 	cancel func()
 	// now returns the current time.
 	now func() time.Time
-	// answer runs until the answer starts; nil if the request may not be moved to another
-	// upstream.
-	answer *stallTimer
+	// response runs until the response of the upstream starts; nil if the request may not be
+	// moved to another upstream.
+	response *stallTimer
 	// gapTimeout is the maximum silence of a stream after an event; 0 means unlimited.
 	gapTimeout time.Duration
 	// gap runs while the next event is awaited; nil until the first event was sent on.
 	gap *stallTimer
 }
 
-// newTimeouts starts the timeout for the answer of an attempt.
-func (x *request) newTimeouts(choice balance.Choice, end context.CancelCauseFunc) *timeouts {
-	p := &timeouts{
-		cancel:     func() { end(errSilent) },
+// newTimeouts starts the timeout for the response of an attempt.
+func (x *request) newTimeouts(choice balance.Choice, cancelAttempt context.CancelCauseFunc) *timeouts {
+	t := &timeouts{
+		cancel:     func() { cancelAttempt(errSilent) },
 		now:        x.server.now,
 		gapTimeout: x.gapTimeout(),
 	}
-	d, ok := x.answerTimeout()
+	d, ok := x.responseTimeout()
 	switch {
 	case !ok:
 	case x.call.Prompt.Tokens > 0:
-		p.answer = newStallTimer(d, p.now, func() { x.onFirstEventTimeout(p, choice, d) })
+		t.response = newStallTimer(d, t.now, func() { x.onFirstEventTimeout(t, choice, d) })
 	default:
-		p.answer = newStallTimer(d, p.now, func() { x.onAnswerTimeout(p) })
+		t.response = newStallTimer(d, t.now, func() { x.onResponseTimeout(t) })
 	}
-	return p
+	return t
 }
 
-// onAnswerTimeout cancels an attempt that was not answered in time, if another upstream is
+// onResponseTimeout cancels an attempt that was not answered in time, if another upstream is
 // available. Otherwise the request keeps waiting.
-func (x *request) onAnswerTimeout(p *timeouts) {
+func (x *request) onResponseTimeout(t *timeouts) {
 	available := false
 	x.server.control.DoWithoutCancel(func(now time.Time) { available = x.server.table.MayPick(now, x.balanceRequest()) })
 	if available {
-		p.cancel()
+		t.cancel()
 	}
 }
 
 // onFirstEventTimeout cancels an attempt whose stream did not begin in time, unless its engine
 // sends events to other requests. In that case the request is queued there, and another engine
 // would have to prefill its prompt again.
-func (x *request) onFirstEventTimeout(p *timeouts, choice balance.Choice, limit time.Duration) {
+func (x *request) onFirstEventTimeout(t *timeouts, choice balance.Choice, limit time.Duration) {
 	var remaining time.Duration
 	x.server.control.DoWithoutCancel(func(now time.Time) {
 		remaining = limit - x.server.table.SilentFor(now, choice)
 	})
 	if remaining <= 0 {
-		p.cancel()
+		t.cancel()
 		return
 	}
-	p.answer.reset(remaining)
+	t.response.reset(remaining)
 }
 
-// answerTimeout returns the time without an answer after which the request is moved to another
-// upstream; false if it may not be moved.
-func (x *request) answerTimeout() (time.Duration, bool) {
+// responseTimeout returns the time without a response after which the request is moved to
+// another upstream; false if it may not be moved.
+func (x *request) responseTimeout() (time.Duration, bool) {
 	route := x.admission.Route
 	if !route.MayRepeat() || !x.progress.Replayable || x.progress.Sent+1 >= route.MaxAttempts || route.Target == 0 {
 		return 0, false
 	}
-	d := time.Duration(answerTimeoutShare * float64(route.Target))
+	d := time.Duration(responseTimeoutShare * float64(route.Target))
 	if x.call.Prompt.Tokens > 0 {
 		d = max(2*route.Target, minStreamTimeout)
 	}
 	return d, true
 }
 
-// gapTimeout returns the silence of a stream after which it is resumed from the copy of its
-// run; 0 if there is no copy or the route has no pause target.
+// gapTimeout returns the silence of a stream after which it is resumed from the backup of its
+// run; 0 if there is no backup or the route has no gap target.
 func (x *request) gapTimeout() time.Duration {
 	if !x.progress.HasBackup {
 		return 0
@@ -107,38 +108,38 @@
 	return gapTimeoutFactor * x.admission.Route.EventGapTarget
 }
 
-// answerStarted stops the timeout for the answer: the first event of a stream arrived, or the
-// header of any other answer.
-func (p *timeouts) answerStarted() {
-	if p.answer != nil {
-		p.answer.stop()
+// responseStarted stops the timeout for the response: the first event of a stream arrived, or
+// the header of any other response.
+func (t *timeouts) responseStarted() {
+	if t.response != nil {
+		t.response.stop()
 	}
 }
 
 // eventSent starts the timeout for the next event of a stream, after the previous one was sent
 // to the caller.
-func (p *timeouts) eventSent() {
+func (t *timeouts) eventSent() {
 	switch {
-	case p.gapTimeout == 0:
-	case p.gap == nil:
-		p.gap = newStallTimer(p.gapTimeout, p.now, p.cancel)
+	case t.gapTimeout == 0:
+	case t.gap == nil:
+		t.gap = newStallTimer(t.gapTimeout, t.now, t.cancel)
 	default:
-		p.gap.reset(p.gapTimeout)
+		t.gap.reset(t.gapTimeout)
 	}
 }
 
 // eventReceived stops the timeout for the next event of a stream. It does not run again until
 // the event was sent to the caller, so that a slow caller does not count as a silent upstream.
-func (p *timeouts) eventReceived() {
-	if p.gap != nil {
-		p.gap.stop()
+func (t *timeouts) eventReceived() {
+	if t.gap != nil {
+		t.gap.stop()
 	}
 }
 
 // stop stops all timeouts.
-func (p *timeouts) stop() {
-	p.answerStarted()
-	if p.gap != nil {
-		p.gap.stop()
+func (t *timeouts) stop() {
+	t.responseStarted()
+	if t.gap != nil {
+		t.gap.stop()
 	}
 }
